--- a/benchmarks/scale/subjects/discovery.py
+++ b/benchmarks/scale/subjects/discovery.py
@@ -42,7 +42,7 @@
     dispatcher = Dispatcher(loop, Gateway(settings, 1), counts, silent)
     plan = Plan(Links(), CONNECTIONS, 30000.0, settings.cold_ms, GATEWAYS, 1)
     Pool(loop, fleet, Platform(settings, ("read",), ("small", "large")), counts, plan, 250.0)
-    return Watch(loop, ("127.0.0.1", 1), fleet, dispatcher.tell, counts, silent)
+    return Watch(loop, ("127.0.0.1", 1), fleet, dispatcher.dispatch, counts, silent)
 
 
 def body(listing: object) -> bytes:
--- a/petrelhall/gateway/agreement.py
+++ b/petrelhall/gateway/agreement.py
@@ -116,7 +116,7 @@
         self.held_at = -math.inf  # when requests could last be decided on
         self.unstamped = settings.begin == "file"  # serve by the file until anything is known
         self.ended = self.begun = False  # begun: requests could be decided on once
-        peers.on_word[KIND] = self.heard
+        peers.datagram_handlers[KIND] = self.heard
         loop.after(TICK_MS, self.tick)
 
     # What decides on requests asks
--- a/petrelhall/gateway/config.py
+++ b/petrelhall/gateway/config.py
@@ -33,19 +33,19 @@
     peers: tuple[Address, ...]
     peers_all: Address | None
     counter: Address | None
-    known: Any  # discovery's last answer, read by discovery's own reader
+    known_servers: Any  # discovery's last answer, read by discovery's own reader
     settings: api.Settings
-    areas: tuple[str, ...]  # the zones' names, by number
+    zone_names: tuple[str, ...]  # the zones' names, by number
     classes: tuple[str, ...]  # names, by number
     plans: tuple[str, ...]
     conn_idle_ms: float
     connect_timeout_ms: float
 
 
-def load(environment: Mapping[str, str], anew: bool = False) -> Config:
+def load(environment: Mapping[str, str], reloading: bool = False) -> Config:
     """Read the file that the environment names; the variables win over what it says of the same things.
 
-    Read ``anew``, the file's word on discovery wins: the environment is that of the start, and would for ever
+    Read ``reloading``, the file's word on discovery wins: the environment is that of the start, and would for ever
     lead back to an address that was left.
     """
     prefix = "EDGE_"
@@ -61,7 +61,7 @@
         raise ConfigError(f"{prefix}CONFIG: {path} is not JSON: {error}") from error
     if isinstance(value, dict):
         for key in ("name", "listen", "discovery", "mgmt"):
-            newer = anew and key == "discovery" and value.get(key)
+            newer = reloading and key == "discovery" and value.get(key)
             if environment.get(prefix + key.upper()) and not newer:
                 value[key] = environment[prefix + key.upper()]
     try:
@@ -86,9 +86,9 @@
         peers=tuple(to_address(f"config.peers[{i}]", text) for i, text in enumerate(top.texts("peers"))),
         peers_all=optional_address(top, "peers_all"),
         counter=optional_address(top, "counter"),
-        known=top.values.get("known"),
+        known_servers=top.values.get("known"),
         settings=read_settings(profile.values),
-        areas=profile.texts("Areas"),
+        zone_names=profile.texts("Areas"),
         classes=tuple(grade.text("Name") for grade in profile.sections("Grades")),
         plans=tuple(plan.text("Name") for plan in profile.sections("Packages")),
         conn_idle_ms=limits.number("ConnIdleMs", 30000.0),
--- a/petrelhall/gateway/dispatch.py
+++ b/petrelhall/gateway/dispatch.py
@@ -30,11 +30,11 @@
         self.loop, self.module, self.counts, self.log = loop, module, counts, log
         self.waiting: deque[api.Event] = deque()
         self.busy = False
-        self.to_request: Callable[[Order], None] = lambda order: None
-        self.to_peers: Callable[[bytes, tuple[int, ...]], None] = lambda content, to: None
-        self.to_counter: Callable[[int, float, float], None] | None = None
+        self.handle_request_action: Callable[[Order], None] = lambda order: None
+        self.send_to_peers: Callable[[bytes, tuple[int, ...]], None] = lambda content, to: None
+        self.add_to_counter: Callable[[int, float, float], None] | None = None
 
-    def tell(self, event: api.Event) -> None:
+    def dispatch(self, event: api.Event) -> None:
         """Tell the module of an event, now or right after those before it."""
         self.waiting.append(event)
         if self.busy:
@@ -56,23 +56,23 @@
             self.log(f"module failed on {type(event).__name__}: {describe(error)}")
             request = getattr(event, "request", None)
             if request is not None and not isinstance(event, api.ClientGone):
-                self.loop.after(0.0, lambda: self.to_request(Fault(request)))
+                self.loop.after(0.0, lambda: self.handle_request_action(Fault(request)))
             return list(self.module.actions)
 
     def carry_out(self, action: api.Action) -> None:
         """Carry out one action."""
         if isinstance(action, api.SetTimer):
             token = action.token
-            self.loop.after(action.after_ms, lambda: self.tell(api.Alarm(token)))
+            self.loop.after(action.after_ms, lambda: self.dispatch(api.Alarm(token)))
         elif isinstance(action, FOR_REQUESTS):
-            self.to_request(action)
+            self.handle_request_action(action)
         elif isinstance(action, api.Tell):
-            self.to_peers(action.content, action.to)
+            self.send_to_peers(action.content, action.to)
         elif isinstance(action, api.CounterAdd):
-            if self.to_counter is None:
+            if self.add_to_counter is None:
                 self.waiting.append(api.CounterReply(action.name, api.Ending.CONNECT_FAILED))
             else:
-                self.to_counter(action.name, action.amount, action.expire_ms)
+                self.add_to_counter(action.name, action.amount, action.expire_ms)
         elif isinstance(action, api.Note):
             self.log(action.text)
         # Probe: the platform has none. Subscribe: discovery is followed from the start.
--- a/petrelhall/gateway/handover.py
+++ b/petrelhall/gateway/handover.py
@@ -20,7 +20,10 @@
 from petrelhall.net.loop import Loop, now_ms
 from petrelhall.net.stream import Address, taken
 
-LOOK_MS, CALM_LOOK_MS = 50.0, 250.0  # between two looks where operators can call, and so upgrade, and elsewhere
+MANAGED_POLL_MS, DEFAULT_POLL_MS = (
+    50.0,
+    250.0,
+)  # between two looks where operators can call, and so upgrade, and elsewhere
 FREE_MS = 3000.0  # in which a process that ends has left the clients' address
 JOIN_MS, STEP_S = 300.0, 0.005  # in which the old process must have answered, before the new one listens
 
@@ -57,7 +60,7 @@
         self.log("no snapshot came from the process that serves: this one starts from nothing")
         return None
 
-    def alone(self, address: Address) -> None:
+    def ensure_address_free(self, address: Address) -> None:
         """See to it that nobody else listens at the clients' address, or that this is an upgrade (OSError).
 
         A listener that is shared by mistake would have half of its clients answered by a gateway that is not theirs.
@@ -93,9 +96,9 @@
         """Say that this process is ready, once; then watch for a newer one's word."""
         if not self.gone:
             self.loop.after(self.look_ms, self.look)
-            self.look_now()
+            self.poll_now()
 
-    def look_now(self) -> None:
+    def poll_now(self) -> None:
         """Look at once: told to end, a process must know whether that is an upgrade."""
         if self.gone:
             return
--- a/petrelhall/gateway/membership.py
+++ b/petrelhall/gateway/membership.py
@@ -56,8 +56,8 @@
         self.boxes = Boxes(settings.boxes_out) if settings.boxes_out else None
         self.pooled = now
         self.lines, self.second = 0, 0
-        peers.on_word[KIND] = lambda number, content: self.handle(Heard(number, content))
-        peers.on_sign = lambda number: self.handle(Sign(number))
+        peers.datagram_handlers[KIND] = lambda number, content: self.handle(Heard(number, content))
+        peers.on_module_datagram = lambda number: self.handle(Sign(number))
         loop.after(LOOK_MS, self.look)
         self.say({"number": self.core.number, "state": "here", "life": self.core.life, "why": "started"})
 
--- a/petrelhall/gateway/peers.py
+++ b/petrelhall/gateway/peers.py
@@ -14,7 +14,7 @@
 MOST = 256  # bytes in a datagram
 # The first byte of a datagram says whose word it is. The module's own begin with its version, and what nobody here
 # knows goes to it as well: it drops and counts it, so that old and new programs can be mixed.
-SHIFT = b"\x53"  # a move between pools
+SHIFT_KIND = b"\x53"  # a move between pools
 
 
 class Peers:
@@ -30,14 +30,16 @@
         tell: Callable[[api.PeerMessage], None],
         counts: Counts,
     ) -> None:
-        self.numbers = {peer: number for number, peer in enumerate(peers) if number != position}
-        self.peers, self.everyone, self.tell, self.counts = peers, everyone, tell, counts
-        self.on_word: dict[int, Callable[[int, bytes], None]] = {}  # by first byte
-        self.on_sign: Callable[[int], None] | None = None  # told of who spoke, whatever it said to others' ears
+        self.peer_numbers = {peer: number for number, peer in enumerate(peers) if number != position}
+        self.peers, self.broadcast_address, self.tell, self.counts = peers, everyone, tell, counts
+        self.datagram_handlers: dict[int, Callable[[int, bytes], None]] = {}  # by first byte
+        self.on_module_datagram: Callable[[int], None] | None = (
+            None  # told of who spoke, whatever it said to others' ears
+        )
         self.sock = bound(own, socket.SOCK_DGRAM)
         loop.register(self.sock.fileno(), select.EPOLLIN, self.on_ready)
 
-    def only_speak(self) -> None:
+    def stop_receiving(self) -> None:
         """Leave what others say to a newer process on the same address; what this one says is still sent.
 
         Two sockets on one address each get what some of the peers say. One that is connected gets nothing but
@@ -53,7 +55,7 @@
         if len(content) > MOST:  # one byte more would break a rule of the platform
             self.counts.add("peers", "too_long")
             return
-        for address in [self.peers[number] for number in to] if to else [self.everyone]:
+        for address in [self.peers[number] for number in to] if to else [self.broadcast_address]:
             try:
                 self.sock.sendto(content, address)
                 self.counts.add("peers", "sent")
@@ -66,14 +68,14 @@
             content, sender = self.sock.recvfrom(MOST + 1)
         except OSError:  # nothing after all, or an earlier datagram that found nobody
             return
-        number = self.numbers.get(sender)
+        number = self.peer_numbers.get(sender)
         if number is None or len(content) > MOST:
             self.counts.add("peers", "dropped")
             return
         self.counts.add("peers", "received")
-        take = self.on_word.get(content[0]) if content else None
+        take = self.datagram_handlers.get(content[0]) if content else None
         if take is not None:
             return take(number, content)
-        if self.on_sign is not None:
-            self.on_sign(number)
+        if self.on_module_datagram is not None:
+            self.on_module_datagram(number)
         self.tell(api.PeerMessage(number, content))
--- a/petrelhall/gateway/program.py
+++ b/petrelhall/gateway/program.py
@@ -23,9 +23,9 @@
 from petrelhall.gateway.counter import CounterClient
 from petrelhall.gateway.dispatch import Dispatcher
 from petrelhall.gateway.front import CLOSE_MS, Front
-from petrelhall.gateway.handover import CALM_LOOK_MS, LOOK_MS, Handover
+from petrelhall.gateway.handover import DEFAULT_POLL_MS, MANAGED_POLL_MS, Handover
 from petrelhall.gateway.mgmt import CALLERS, Management
-from petrelhall.gateway.peers import SHIFT, Peers
+from petrelhall.gateway.peers import SHIFT_KIND, Peers
 from petrelhall.gateway.platform import Platform
 from petrelhall.gateway.requests import Desk
 from petrelhall.http.room import Room
@@ -57,13 +57,13 @@
 
     def __init__(self, config: Config, log: Log, operator: File, operator_path: str = "") -> None:
         self.config, self.log, self.operator, self.operator_path = config, log, operator, operator_path
-        self.loop, self.counts, self.fleet = Loop(log), Counts(), Fleet(config.areas)
+        self.loop, self.counts, self.fleet = Loop(log), Counts(), Fleet(config.zone_names)
         self.stopping = self.serving = False
         self.counter: CounterClient | None = None
         self.mind_signals()  # before anyone can connect: unminded, any of them ends the program at once
         settings = config.settings
         self.handover = Handover(config.name, log.write)
-        self.handover.alone(config.listen)
+        self.handover.ensure_address_free(config.listen)
         self.module = Gateway(self.module_settings(), config.seed)
         self.dispatcher = Dispatcher(self.loop, self.module, self.counts, log)
         platform = self.platform = Platform(settings, config.classes, config.plans)
@@ -75,8 +75,8 @@
         )
         body_room = Room(config.memory_mb)
         self.pool = Pool(self.loop, self.fleet, platform, self.counts, plan, config.connect_timeout_ms, body_room)
-        desk = Desk(self.loop, self.dispatcher.tell, self.pool, self.counts, settings.max_retry_after_ms)
-        self.dispatcher.to_request = desk.give
+        desk = Desk(self.loop, self.dispatcher.dispatch, self.pool, self.counts, settings.max_retry_after_ms)
+        self.dispatcher.handle_request_action = desk.give
         self.desk = desk
         self.shifter: Shifter | None = None
         self.peers: Peers | None = None
@@ -87,7 +87,7 @@
         if wrong:
             raise OperatorError(f"{operator_path}: shared.{wrong}")
         self.join_others()
-        self.dispatcher.tell(api.Started())
+        self.dispatcher.dispatch(api.Started())
         self.apply(operator.shared, None)
         self.start_list()
         self.take_over()
@@ -101,18 +101,18 @@
                 config.mgmt,
                 self.fleet,
                 self.say_ready,
-                self.dispatcher.tell,
+                self.dispatcher.dispatch,
                 self.counts,
                 log.write,
                 config.name,
             )
-            self.dispatcher.tell(self.fleet.relabel())  # servers that the operators took out before this start
+            self.dispatcher.dispatch(self.fleet.relabel())  # servers that the operators took out before this start
             if self.membership is not None:
                 self.mgmt.views["members"] = self.membership.view
             if self.sharing is not None:
                 self.mgmt.views["quota"] = self.sharing.view
             self.show_policy(self.mgmt)
-        look_ms = LOOK_MS if config.mgmt is not None else CALM_LOOK_MS
+        look_ms = MANAGED_POLL_MS if config.mgmt is not None else DEFAULT_POLL_MS
         self.handover.watch(self.loop, look_ms, self.ready, self.hand_over, self.snapshot)
 
     def show_policy(self, mgmt: Management) -> None:
@@ -142,7 +142,7 @@
     def say_ready(self) -> bool:
         """Tell operators whether this process takes clients; the process that it replaces hears of it first."""
         if self.ready():
-            self.handover.look_now()
+            self.handover.poll_now()
         return self.ready()
 
     def knows_others(self) -> bool:
@@ -170,7 +170,7 @@
 
     def join_others(self) -> None:
         """Open the ways to the other gateways that the configuration names."""
-        config, tell = self.config, self.dispatcher.tell
+        config, tell = self.config, self.dispatcher.dispatch
         if config.settings.peers and config.peer_listen and config.peers_all:
             self.peers = Peers(
                 self.loop,
@@ -181,7 +181,7 @@
                 tell,
                 self.counts,
             )
-            self.dispatcher.to_peers = self.peers.send
+            self.dispatcher.send_to_peers = self.peers.send
             if self.operator.members.on and self.knows_others():
                 from petrelhall.gateway.membership import Membership
 
@@ -286,37 +286,39 @@
                 self.loop,
                 self.fleet,
                 self.pool.plan,
-                self.dispatcher.tell,
+                self.dispatcher.dispatch,
                 self.counts,
                 self.log,
                 self.config.classes,
                 self.config.plans,
             )
             if self.peers is not None:
-                self.shifter.to_peers, self.peers.on_word[SHIFT[0]] = self.peers.send, self.shifter.heard
+                self.shifter.to_peers, self.peers.datagram_handlers[SHIFT_KIND[0]] = self.peers.send, self.shifter.heard
         self.shifter.configure(settings)
         self.desk.sides = self.shifter if settings is not None else None
 
     def counter_at(self, address: Address) -> CounterClient:
         """Have calls to the counter go to an address."""
         wait_ms = self.config.settings.counter_wait_ms
-        client = CounterClient(self.loop, address, wait_ms, self.dispatcher.tell, self.counts)
-        self.dispatcher.to_counter = client.add
+        client = CounterClient(self.loop, address, wait_ms, self.dispatcher.dispatch, self.counts)
+        self.dispatcher.add_to_counter = client.add
         return client
 
     def start_list(self) -> None:
         """Begin with the list that this gateway last had, then follow discovery."""
         try:
-            if self.config.known is not None:
-                self.dispatcher.tell(self.fleet.take(self.config.known, "cached"))
+            if self.config.known_servers is not None:
+                self.dispatcher.dispatch(self.fleet.take(self.config.known_servers, "cached"))
         except (ValueError, TypeError) as error:
             raise ConfigError(f"config.known: {error}") from error
-        self.watch = Watch(self.loop, self.config.discovery, self.fleet, self.dispatcher.tell, self.counts, self.log)
+        self.watch = Watch(
+            self.loop, self.config.discovery, self.fleet, self.dispatcher.dispatch, self.counts, self.log
+        )
 
     def reload(self) -> None:
         """Read both files anew, all or nothing: move to where discovery and the counter are, take settings."""
         try:
-            new = load(os.environ, anew=True)
+            new = load(os.environ, reloading=True)
             operator = read(self.operator_path) if self.operator_path else self.operator
             if self.agreement is not None and operator.shared != self.operator.shared:
                 by = self.agreement.changed_by
@@ -422,13 +424,13 @@
         if self.agreement is not None:
             self.agreement.hand_over()
         if self.peers is not None:
-            self.peers.only_speak()
+            self.peers.stop_receiving()
         self.front.hand_over()
 
     def begin_end(self) -> None:
         """Serve on while clients may still come, answer what was taken, and stop; once only."""
         if not self.stopping:
-            self.handover.look_now()  # a newer process may have spoken since the last look
+            self.handover.poll_now()  # a newer process may have spoken since the last look
             self.stopping = True
             if self.membership is not None:
                 self.membership.leave()
--- a/petrelhall/gateway/sharing.py
+++ b/petrelhall/gateway/sharing.py
@@ -85,7 +85,7 @@
         if counter is not None:
             self.move(counter)
         if peers is not None:
-            peers.on_word[KIND] = self.heard
+            peers.datagram_handlers[KIND] = self.heard
         self.begun = self.ended = False
         loop.after(TURN_MS, self.turn)
 
--- a/petrelhall/gateway/shifting.py
+++ b/petrelhall/gateway/shifting.py
@@ -12,7 +12,7 @@
 from petrelhall.boxes.fleet import Fleet
 from petrelhall.decide import interface as api
 from petrelhall.decide.interface import Ending
-from petrelhall.gateway.peers import SHIFT
+from petrelhall.gateway.peers import SHIFT_KIND
 from petrelhall.gateway.requests import Request
 from petrelhall.links.attempt import Result
 from petrelhall.links.plan import Plan
@@ -24,7 +24,9 @@
 from petrelhall.shift.plan import PoolError, Pools, side
 
 LOOK_MS = 250.0
-WORD = struct.Struct("<cIBBff")  # SHIFT, the move's digest, state, step, logs of the wealth on slower and on errors
+WORD = struct.Struct(
+    "<cIBBff"
+)  # SHIFT_KIND, the move's digest, state, step, logs of the wealth on slower and on errors
 WORD_MS = 1000.0
 TOLD = {Ending.OK, Ending.ERROR, Ending.RESET, Ending.TIMEOUT, Ending.FULL, Ending.CONNECT_FAILED}
 STATES = list(State)
@@ -174,7 +176,7 @@
             self.spoken = now
             self.to_peers(
                 WORD.pack(
-                    SHIFT,
+                    SHIFT_KIND,
                     digest(mover),
                     STATES.index(mover.state),
                     mover.step,
--- a/petrelhall/hollow/gateway.py
+++ b/petrelhall/hollow/gateway.py
@@ -50,8 +50,8 @@
 
     def meet(self, peers: tuple[Address, ...], everyone: Address) -> None:
         """Learn the addresses of all, which are known once all sockets are bound."""
-        self.peers, self.everyone = peers, everyone
-        self.numbers = {address: number for number, address in enumerate(peers) if number != self.number}
+        self.peers, self.broadcast_address = peers, everyone
+        self.peer_numbers = {address: number for number, address in enumerate(peers) if number != self.number}
 
     def send(self, content: bytes, to: tuple[int, ...] = ()) -> None:
         """Count the bytes of what is said, and say it."""
@@ -128,8 +128,8 @@
     def fall_silent(self) -> None:
         """Say nothing more; what others say is still taken in and counted, and moves nothing here."""
         self.ended = True
-        self.peers.on_word.clear()
-        self.peers.on_sign = None
+        self.peers.datagram_handlers.clear()
+        self.peers.on_module_datagram = None
         if self.membership is not None:
             self.membership.ended = True
         if self.agreement is not None:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -631,8 +631,8 @@
             gone = False
 
         dispatcher = Dispatcher(self.loop, Broken(), self.counts, self.notes.append)
-        desk = Desk(self.loop, dispatcher.tell, None, self.counts, 700.0)  # type: ignore[arg-type]
-        dispatcher.to_request = desk.give
+        desk = Desk(self.loop, dispatcher.dispatch, None, self.counts, 700.0)  # type: ignore[arg-type]
+        dispatcher.handle_request_action = desk.give
         answers: list[Any] = []
 
         def serve() -> Any:
@@ -709,8 +709,8 @@
 
         module, told = Asking(), list[bytes]()
         dispatcher = Dispatcher(self.loop, module, self.counts, self.notes.append)
-        dispatcher.to_peers = lambda content, to: told.append(content)
-        dispatcher.tell(api.Started())
+        dispatcher.send_to_peers = lambda content, to: told.append(content)
+        dispatcher.dispatch(api.Started())
         self.assertEqual(module.seen, ["Started", "CounterReply"])
         self.assertEqual(told, [b"x", b"y"])
 
@@ -772,7 +772,7 @@
         peers.send(b"x" * 257)
         peers.send(b"y" * 256)
         self.assertEqual(peer.recv(300), b"y" * 256)
-        peers.everyone = stranger.getsockname()
+        peers.broadcast_address = stranger.getsockname()
         peers.send(b"one", (1,))
         peers.send(b"all")
         self.assertEqual((peer.recv(300), stranger.recv(300)), (b"one", b"all"))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -131,7 +131,7 @@
     def test_who_joins_gets_the_snapshot_of_who_serves(self) -> None:
         loop, old = Loop(print), self.side(os.getppid(), 1000.0)  # a pid that is there
         old.watch(loop, 5.0, lambda: True, lambda: self.fail("it was not succeeded yet"), lambda: {"form": 1})
-        old.look_now()
+        old.poll_now()
         new, got = self.side(os.getpid(), 2000.0), []
         joining = threading.Thread(target=lambda: got.append(new.join()))
         joining.start()
--- a/tests/test_hollow.py
+++ b/tests/test_hollow.py
@@ -86,7 +86,7 @@
     try:
         heard: list[tuple[int, int]] = []
         for gateway in fleet.gateways:
-            gateway.peers.on_word[1] = lambda sender, content, own=gateway.number: heard.append((own, sender))
+            gateway.peers.datagram_handlers[1] = lambda sender, content, own=gateway.number: heard.append((own, sender))
         fleet.gateways[2].peers.send(b"\x01")
         assert fleet.run_until(lambda: len(heard) == 3, now_ms() + 1000.0 * WINDOW_S)
         assert sorted(heard) == [(0, 2), (1, 2), (3, 2)]
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -71,10 +71,10 @@
         """Put the whole together."""
         module = Gateway(self.settings, 1)
         dispatcher = Dispatcher(self.loop, module, self.counts, self.notes.append)
-        self.desk = Desk(self.loop, dispatcher.tell, self.pool, self.counts, 700.0)
-        dispatcher.to_request = self.desk.give
-        dispatcher.tell(Started())
-        dispatcher.tell(self.fleet.relabel())
+        self.desk = Desk(self.loop, dispatcher.dispatch, self.pool, self.counts, 700.0)
+        dispatcher.handle_request_action = self.desk.give
+        dispatcher.dispatch(Started())
+        dispatcher.dispatch(self.fleet.relabel())
         made = Front(
             self.loop,
             ("127.0.0.1", 0),
@@ -380,7 +380,7 @@
                 held.stream.end(0)  # the close is seen between the decision and the attempt
             give(order)
 
-        made.desk.tell.__self__.to_request = crossing
+        made.desk.tell.__self__.handle_request_action = crossing
         self.turn_until(lambda: self.counts.get("answered", "client_left"))
         self.assertEqual((module.jobs, module.out, module.links["s0"].out), ({}, 0.0, 0.0))
         self.assertAlmostEqual(module.customers["00000000b4d65521"].shared, 1000.0, places=0)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -53,7 +53,7 @@
 
             peers.append(Peers(loop, own, tuple(s.getsockname() for s in senders), everyone, 99, heard, Counts()))
             self.addCleanup(peers[-1].sock.close)
-        peers[0].only_speak()
+        peers[0].stop_receiving()
         for sender in senders:
             sender.sendto(b"x", own)
         until = time.monotonic() + PATIENCE_S
