--- a/petrelhall/__main__.py
+++ b/petrelhall/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one gateway; nothing else."""
+"""Entry point of ``python -m petrelhall``: runs one gateway."""
 
 import sys
 
--- a/petrelhall/decide/interface.py
+++ b/petrelhall/decide/interface.py
@@ -1,7 +1,10 @@
-"""What a gateway is told and what it answers: settings, events and actions.
+"""Interface of the decision module: its settings, the events it receives and the actions it returns.
 
-All times are milliseconds on one clock that only goes forward; ``now`` is handed in with each event.
-Nothing here decides anything: every decision lies in ``policy.py``.
+All times are milliseconds on one monotonic clock; ``now`` is passed in with each event.
+This module holds data types only: every decision is made in ``policy.py``.
+
+Some names must not change: stored snapshots contain a hash of the ``repr`` of ``Plan`` and ``RequestClass``, and the
+class name of an event selects its handler (``on_arrival`` for ``Arrival``).
 """
 
 from __future__ import annotations
@@ -12,7 +15,7 @@
 
 
 class Effect(Enum):
-    """What running a request a second time would do."""
+    """Whether a request may be executed more than once."""
 
     REPEATABLE = "repeatable"
     KEYED = "keyed"
@@ -20,7 +23,7 @@
 
 
 class Ending(Enum):
-    """How an attempt, a probe or a counter call ended."""
+    """Result of an attempt, a probe or a counter call."""
 
     OK = "ok"
     ERROR = "error"
@@ -34,7 +37,7 @@
 
 @dataclass(frozen=True)
 class RequestClass:
-    """One kind of request; ``group`` and ``window_ms`` matter for keyed requests only."""
+    """One class of requests; ``group`` and ``window_ms`` apply to keyed requests only."""
 
     effect: Effect
     aim_ms: float
@@ -48,7 +51,7 @@
 
 @dataclass(frozen=True)
 class Plan:
-    """The limits of one customer, over all gateways together; 0 stands for no such limit."""
+    """The limits of one customer, across all gateways together; 0 means no such limit."""
 
     rate: float
     burst: float
@@ -63,7 +66,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """All that a gateway is told at its start."""
+    """Everything that a gateway is configured with at startup."""
 
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
@@ -86,7 +89,7 @@
     meter_ms: float = 0.0
     largest_units: float = 1.0
     cost_after: bool = False
-    max_retry_after_ms: float = 0.0  # 0: clients take no advice
+    max_retry_after_ms: float = 0.0  # 0: clients ignore Retry-After
     drain_grace_ms: float = 0.0
     cold_from: float = 1.0
     cold_ms: float = 0.0
@@ -96,9 +99,9 @@
     handshake_price: float = 0.0
 
     def __post_init__(self) -> None:
-        """Refuse settings that make no sense, naming the field."""
+        """Reject invalid settings with an error that names the field."""
         if not self.classes:
-            raise ValueError("classes: at least one is needed")
+            raise ValueError("classes: at least one class is required")
         for name in ("gateways", "max_attempts", "largest_units"):
             if getattr(self, name) < 1:
                 raise ValueError(f"{name}: must be at least 1")
@@ -119,12 +122,12 @@
 
 @dataclass(frozen=True)
 class Started:
-    """The gateway comes up and knows nothing but its settings."""
+    """The gateway has started; its only state is its settings."""
 
 
 @dataclass(frozen=True)
 class Server:
-    """A line of the list of servers; ``since_ms`` 0 means started long ago."""
+    """One entry of the server list; ``since_ms`` 0 means that the server started long ago."""
 
     address: str
     zone: int = 0
@@ -132,12 +135,12 @@
     phase: str = "healthy"
     weight: float = 1.0
     since_ms: float = 0.0
-    pool: str = ""  # the operators' name for a part of the fleet
+    pool: str = ""  # name that the operators give to a part of the fleet
 
 
 @dataclass(frozen=True)
 class ServerList:
-    """Discovery's news: ``delta``, ``full``, ``cached`` or ``failed``."""
+    """An update from discovery; ``kind`` is ``delta``, ``full``, ``cached`` or ``failed``."""
 
     kind: str
     servers: tuple[Server, ...] = ()
@@ -145,7 +148,7 @@
 
 @dataclass(frozen=True)
 class Arrival:
-    """A request has been taken; it is owed one final answer within ``left_ms``."""
+    """A request was accepted; it must get exactly one final answer within ``left_ms``."""
 
     request: int
     request_class: int
@@ -155,13 +158,13 @@
     units: float = 1.0
     set_size: int = 1
     repeat: bool = False
-    pools: tuple[str, ...] = ()  # among whose servers it may go, in order; empty: all
-    set_first: int = 0  # number of the first gateway that the customer uses; ``set_size`` in a row, counted round
+    pools: tuple[str, ...] = ()  # pools that may serve it, in order of preference; empty: all
+    set_first: int = 0  # first gateway of the customer's set: ``set_size`` consecutive numbers, wrapping around
 
 
 @dataclass(frozen=True)
 class StreamStarted:
-    """The answer has begun to flow to the client."""
+    """The response has started to stream to the client."""
 
     request: int
     attempt: int
@@ -169,7 +172,7 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """How an attempt ended. ``used`` is the customer's metered use as a share of its rate."""
+    """The result of an attempt. ``used`` is the customer's metered use as a fraction of its rate."""
 
     request: int
     attempt: int
@@ -184,21 +187,21 @@
 
 @dataclass(frozen=True)
 class ClientGone:
-    """The client left; nothing more is owed."""
+    """The client disconnected; it needs no answer any more."""
 
     request: int
 
 
 @dataclass(frozen=True)
 class Alarm:
-    """A timer set by the gateway has come due."""
+    """A timer requested with ``SetTimer`` has expired."""
 
     token: int
 
 
 @dataclass(frozen=True)
 class ProbeResult:
-    """The answer to a probe."""
+    """The result of a ``Probe``."""
 
     server: str
     ending: Ending
@@ -208,7 +211,7 @@
 
 @dataclass(frozen=True)
 class PeerMessage:
-    """Bytes from another gateway; they may be late, lost or junk."""
+    """A datagram from another gateway; it may be delayed, and its content may be invalid."""
 
     sender: int
     content: bytes
@@ -216,7 +219,7 @@
 
 @dataclass(frozen=True)
 class CounterReply:
-    """The answer to a call of the shared counter."""
+    """The result of a ``CounterAdd``."""
 
     name: int
     ending: Ending
@@ -242,10 +245,10 @@
 
 @dataclass(frozen=True)
 class Send:
-    """Start an attempt; ``timeout_ms`` 0 means until the client gives up.
+    """Start an attempt; ``timeout_ms`` 0 means no timeout other than the client's own.
 
-    ``write_by`` is the last time (ms, on the module's clock) at which it may be written: a repeat that waits for a
-    connection until its window is over must not go any more.
+    ``write_by`` is the latest time (ms, on the module's clock) at which the request may be written: a retry that
+    waited for a connection until its deduplication window closed must not be sent.
     """
 
     request: int
@@ -256,23 +259,23 @@
 
 @dataclass(frozen=True)
 class Refuse:
-    """Final: not served, and safe to ask again."""
+    """Final answer: the request was not served and is safe to retry."""
 
     request: int
     retry_after_ms: float = 0.0
-    cause: str = ""  # for people: ceiling, cut, time, pace, open, quota; none: no server
+    cause: str = ""  # for operators: ceiling, cut, time, pace, open, quota; empty: no server
 
 
 @dataclass(frozen=True)
 class Fail:
-    """Final: not served, with no promise about effects."""
+    """Final answer: the request was not served, but may have had effects."""
 
     request: int
 
 
 @dataclass(frozen=True)
 class Cancel:
-    """Call off one attempt."""
+    """Cancel one attempt."""
 
     request: int
     attempt: int
@@ -280,7 +283,7 @@
 
 @dataclass(frozen=True)
 class SetTimer:
-    """Ask for an ``Alarm`` after some time."""
+    """Request an ``Alarm`` with this token after ``after_ms``."""
 
     after_ms: float
     token: int
@@ -288,14 +291,14 @@
 
 @dataclass(frozen=True)
 class Probe:
-    """Ask a server for its load."""
+    """Request a load report from a server."""
 
     server: str
 
 
 @dataclass(frozen=True)
 class Tell:
-    """Send bytes to other gateways, by their numbers; none named: to every one."""
+    """Send a datagram to the gateways numbered in ``to``; empty: to all other gateways."""
 
     content: bytes
     to: tuple[int, ...] = ()
@@ -303,7 +306,7 @@
 
 @dataclass(frozen=True)
 class CounterAdd:
-    """Add to a named number that all gateways share."""
+    """Add ``amount`` to a named counter that all gateways share."""
 
     name: int
     amount: float
@@ -312,12 +315,12 @@
 
 @dataclass(frozen=True)
 class Subscribe:
-    """Follow the list of servers from now on."""
+    """Subscribe to updates of the server list."""
 
 
 @dataclass(frozen=True)
 class Note:
-    """A line for the people on call."""
+    """A line for the operators' log."""
 
     text: str
 
--- a/petrelhall/gateway/__init__.py
+++ b/petrelhall/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""One gateway put together."""
+"""The gateway program: its listener, request handling and connections to other services."""
--- a/petrelhall/gateway/config.py
+++ b/petrelhall/gateway/config.py
@@ -1,4 +1,4 @@
-"""Reads what the platform tells a gateway at its start."""
+"""Reads the configuration that the platform gives a gateway at startup."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 
 
 class ConfigError(ValueError):
-    """A configuration that cannot be used; the text names the field."""
+    """An invalid configuration; the message names the field."""
 
 
 @dataclass(frozen=True)
 class Config:
-    """One gateway's configuration."""
+    """The configuration of one gateway."""
 
     name: str
     listen: Address
     discovery: Address
-    mgmt: Address | None  # where operators call; absent on older days
+    mgmt: Address | None  # management address for operators; absent where the platform sets none
     seed: int
     sockets: int
     memory_mb: float
@@ -33,25 +33,25 @@
     peers: tuple[Address, ...]
     peers_all: Address | None
     counter: Address | None
-    known_servers: Any  # discovery's last answer, read by discovery's own reader
+    known_servers: Any  # discovery's last response, not yet validated; parsed by the fleet
     settings: api.Settings
-    zone_names: tuple[str, ...]  # the zones' names, by number
-    classes: tuple[str, ...]  # names, by number
-    plans: tuple[str, ...]
+    zone_names: tuple[str, ...]  # by zone number
+    classes: tuple[str, ...]  # names, by class number
+    plans: tuple[str, ...]  # names, by plan number
     conn_idle_ms: float
     connect_timeout_ms: float
 
 
 def load(environment: Mapping[str, str], reloading: bool = False) -> Config:
-    """Read the file that the environment names; the variables win over what it says of the same things.
+    """Read the file that the environment names; environment variables override the file's values.
 
-    Read ``reloading``, the file's word on discovery wins: the environment is that of the start, and would for ever
-    lead back to an address that was left.
+    When ``reloading``, the file's discovery address overrides the variable: the environment still holds the value of
+    the start and would always lead back to an address that is no longer in use.
     """
     prefix = "EDGE_"
     path = environment.get(prefix + "CONFIG")
     if not path:
-        raise ConfigError(f"{prefix}CONFIG: must name the configuration file")
+        raise ConfigError(f"{prefix}CONFIG: must hold the path of the configuration file")
     try:
         with open(path, "rb") as file:
             value = ujson.loads(file.read())
@@ -61,43 +61,43 @@
         raise ConfigError(f"{prefix}CONFIG: {path} is not JSON: {error}") from error
     if isinstance(value, dict):
         for key in ("name", "listen", "discovery", "mgmt"):
-            newer = reloading and key == "discovery" and value.get(key)
-            if environment.get(prefix + key.upper()) and not newer:
+            file_wins = reloading and key == "discovery" and value.get(key)
+            if environment.get(prefix + key.upper()) and not file_wins:
                 value[key] = environment[prefix + key.upper()]
     try:
-        return read(Section("config", value))
+        return read_config(Section("config", value))
     except SettingsError as error:
         raise ConfigError(str(error)) from error
 
 
-def read(top: Section) -> Config:
-    """Turn the decoded file into a configuration."""
+def read_config(top: Section) -> Config:
+    """Convert the decoded file to a configuration."""
     profile = top.section("settings")
     limits = profile.section("Limits")
     return Config(
         name=top.text("name") or "gateway",
-        listen=address(top, "listen"),
-        discovery=address(top, "discovery"),
+        listen=required_address(top, "listen"),
+        discovery=required_address(top, "discovery"),
         mgmt=optional_address(top, "mgmt"),
-        seed=seed(top),
+        seed=read_seed(top),
         sockets=int(top.section("limits").number("sockets", 1024.0)),
         memory_mb=top.section("limits").number("memory_mb", 128.0),
         peer_listen=optional_address(top, "peer_listen"),
-        peers=tuple(to_address(f"config.peers[{i}]", text) for i, text in enumerate(top.texts("peers"))),
+        peers=tuple(field_address(f"config.peers[{index}]", text) for index, text in enumerate(top.texts("peers"))),
         peers_all=optional_address(top, "peers_all"),
         counter=optional_address(top, "counter"),
         known_servers=top.values.get("known"),
         settings=read_settings(profile.values),
         zone_names=profile.texts("Areas"),
-        classes=tuple(grade.text("Name") for grade in profile.sections("Grades")),
+        classes=tuple(request_class.text("Name") for request_class in profile.sections("Grades")),
         plans=tuple(plan.text("Name") for plan in profile.sections("Packages")),
         conn_idle_ms=limits.number("ConnIdleMs", 30000.0),
         connect_timeout_ms=limits.number("ConnectTimeoutMs", 250.0),
     )
 
 
-def seed(top: Section) -> int:
-    """Read the seed: hex digits, or a whole number."""
+def read_seed(top: Section) -> int:
+    """Read the seed: a string of hex digits, or an integer."""
     value = top.values.get("seed")
     if isinstance(value, int) and not isinstance(value, bool):
         return value
@@ -107,18 +107,18 @@
         raise SettingsError("config.seed: must be hex digits") from None
 
 
-def address(top: Section, key: str) -> Address:
-    """Read an address that must be there."""
-    return to_address(f"{top.name}.{key}", top.text(key))
+def required_address(top: Section, key: str) -> Address:
+    """Read a required address."""
+    return field_address(f"{top.name}.{key}", top.text(key))
 
 
 def optional_address(top: Section, key: str) -> Address | None:
-    """Read an address that may be absent."""
-    return to_address(f"{top.name}.{key}", top.text(key)) if top.text(key) else None
+    """Read an address that may be missing."""
+    return field_address(f"{top.name}.{key}", top.text(key)) if top.text(key) else None
 
 
-def to_address(name: str, text: str) -> Address:
-    """Read host:port for a named field."""
+def field_address(name: str, text: str) -> Address:
+    """Parse host:port; errors name the field."""
     try:
         return parse_address(text)
     except ValueError:
--- a/petrelhall/gateway/handover.py
+++ b/petrelhall/gateway/handover.py
@@ -1,9 +1,9 @@
-"""Upgrades on this gateway's side, by small files under ``$TMPDIR``.
+"""Handover from an old to a new process of one gateway during an upgrade, through small files under ``$TMPDIR``.
 
-A new process says that it joins; the one that serves then leaves a snapshot of what it knows for it. When the new
-one is ready it says so, and the old one, on reading that, begins to leave: rather than at SIGTERM up to 6 s later,
-so that the two do not both serve a whole gateway's share for long. The files' content is read and made by
-``control.handover``, the snapshot's by ``decide.snapshot``.
+A new process announces that it joins, and the serving process then writes a snapshot of its state for it. Once the new
+process is ready it writes the ready marker, and the old one starts to drain when it reads that. Waiting for SIGTERM
+instead would take up to 6 s, in which both processes would serve a whole gateway's share. ``control.handover`` encodes
+and decodes the files' content, and ``decide.snapshot`` the snapshot's.
 """
 
 from __future__ import annotations
@@ -20,12 +20,11 @@
 from petrelhall.net.loop import Loop, now_ms
 from petrelhall.net.stream import Address, taken
 
-MANAGED_POLL_MS, DEFAULT_POLL_MS = (
-    50.0,
-    250.0,
-)  # between two looks where operators can call, and so upgrade, and elsewhere
-FREE_MS = 3000.0  # in which a process that ends has left the clients' address
-JOIN_MS, STEP_S = 300.0, 0.005  # in which the old process must have answered, before the new one listens
+MANAGED_POLL_MS = 50.0  # between two polls where operators have a management address, and so can start an upgrade
+DEFAULT_POLL_MS = 250.0  # between two polls elsewhere
+ADDRESS_WAIT_MS = 3000.0  # a process that is ending has released the clients' address within this time
+SNAPSHOT_WAIT_MS = 300.0  # the old process must deliver its snapshot within this time, before the new one listens
+WAIT_STEP_S = 0.005
 
 
 class Handover:
@@ -34,113 +33,118 @@
     def __init__(self, gateway: str, log: Callable[[str], None]) -> None:
         self.log = log
         self.pid, self.started = os.getpid(), now_ms()
-        self.told = self.gone = self.joined = False  # joined: it found one that serves, and takes over from it
-        self.answered = 0  # pid of the process that a snapshot was left for
-        place = os.path.join(tempfile.gettempdir(), f"petrelhall-{gateway}-")
-        self.ready_path, self.joins_path, self.snapshot_path = (
-            f"{place}{name}.json" for name in ("ready", "joins", "snapshot")
+        # joined: this process found a serving one and takes over from it
+        self.marker_written = self.replaced = self.joined = False
+        self.snapshot_pid = 0  # pid of the process that a snapshot was written for
+        prefix = os.path.join(tempfile.gettempdir(), f"petrelhall-{gateway}-")
+        self.ready_path, self.join_path, self.snapshot_path = (
+            f"{prefix}{name}.json" for name in ("ready", "joins", "snapshot")
         )
 
     # The new process
 
     def join(self) -> Any:
-        """Ask the process that serves, if there is one, for what it knows; None where nothing came of it."""
-        serving = marked(read(self.ready_path))
-        if serving is None or serving == self.pid or not alive(serving):
+        """Request a snapshot from the serving process; None if there is no such process or it did not respond."""
+        serving = marked(read_file(self.ready_path))
+        if serving is None or serving == self.pid or not is_alive(serving):
             return None
         self.joined = True
-        if not self.write(self.joins_path, mark(self.pid, self.started)):
+        if not self.write_file(self.join_path, mark(self.pid, self.started)):
             return None
-        until = now_ms() + JOIN_MS
-        while now_ms() < until:
-            found = handed(read(self.snapshot_path), self.pid)
-            if found is not None:
-                return found
-            time.sleep(STEP_S)
-        self.log("no snapshot came from the process that serves: this one starts from nothing")
+        deadline = now_ms() + SNAPSHOT_WAIT_MS
+        while now_ms() < deadline:
+            snapshot = handed(read_file(self.snapshot_path), self.pid)
+            if snapshot is not None:
+                return snapshot
+            time.sleep(WAIT_STEP_S)
+        self.log("the serving process wrote no snapshot in time; starting without its state")
         return None
 
     def ensure_address_free(self, address: Address) -> None:
-        """See to it that nobody else listens at the clients' address, or that this is an upgrade (OSError).
+        """Raise OSError if another process listens on the clients' address and this is not an upgrade.
 
-        A listener that is shared by mistake would have half of its clients answered by a gateway that is not theirs.
-        A mark under ``$TMPDIR`` is the sign of an upgrade, whoever left it: a stranger cannot be told apart then. One
-        that is about to end is waited for.
+        With a listener shared by mistake, half of the clients would be answered by a gateway that is not theirs. A
+        ready marker under ``$TMPDIR`` is taken as the sign of an upgrade whoever wrote it: it then hides an unrelated
+        process on the address. Waits for a process that is about to exit.
         """
-        until = now_ms() + FREE_MS
+        deadline = now_ms() + ADDRESS_WAIT_MS
         while not os.path.exists(self.ready_path) and taken(address):
-            if now_ms() >= until:
-                where = f"{address[0]}:{address[1]}"
+            if now_ms() >= deadline:
+                host_port = f"{address[0]}:{address[1]}"
                 raise OSError(
                     errno.EADDRINUSE,
-                    f"listen: another process listens at {where}, and no mark in "
-                    f"{self.ready_path} tells of an upgrade",
+                    f"listen: another process listens at {host_port}, and there is no ready marker "
+                    f"{self.ready_path} that would indicate an upgrade",
                 )
-            time.sleep(STEP_S)
+            time.sleep(WAIT_STEP_S)
 
-    # Both
+    # Both processes
 
     def watch(
         self,
         loop: Loop,
-        look_ms: float,
-        ready: Callable[[], bool],
-        leave: Callable[[], None],
+        poll_ms: float,
+        is_ready: Callable[[], bool],
+        drain: Callable[[], None],
         snapshot: Callable[[], dict[str, Any]],
     ) -> None:
-        """Begin to look for the other process's words."""
-        self.loop, self.look_ms, self.ready, self.leave, self.snapshot = loop, look_ms, ready, leave, snapshot
-        loop.after(look_ms, self.look)
-
-    def look(self) -> None:
-        """Say that this process is ready, once; then watch for a newer one's word."""
-        if not self.gone:
-            self.loop.after(self.look_ms, self.look)
+        """Start to poll for the other process's files."""
+        self.loop, self.poll_ms, self.is_ready, self.drain, self.snapshot = loop, poll_ms, is_ready, drain, snapshot
+        loop.after(poll_ms, self.poll)
+
+    def poll(self) -> None:
+        """Poll now and again after each interval, until a newer process has taken over."""
+        if not self.replaced:
+            self.loop.after(self.poll_ms, self.poll)
             self.poll_now()
 
     def poll_now(self) -> None:
-        """Look at once: told to end, a process must know whether that is an upgrade."""
-        if self.gone:
+        """Poll once: start to drain if a newer process is ready, else announce that this one is.
+
+        Also called on SIGTERM, when a process must know whether it is being replaced.
+        """
+        if self.replaced:
             return
-        # Read before writing: a newer process may have spoken before this one was ever ready.
-        if succeeded(read(self.ready_path), self.pid, self.started):
-            self.gone = True
-            self.log("a newer process of this gateway is ready: this one ends with its last client")
-            self.leave()
-        elif self.ready():
-            self.say()
-            self.answer()
-
-    def answer(self) -> None:
-        """Leave a snapshot for a newer process that joins, once."""
-        data = read(self.joins_path)
+        # Read before writing: a newer process may have written its marker before this one was ever ready.
+        if succeeded(read_file(self.ready_path), self.pid, self.started):
+            self.replaced = True
+            self.log("a newer process of this gateway is ready: this one exits after its last client")
+            self.drain()
+        elif self.is_ready():
+            self.write_ready_marker()
+            self.answer_join()
+
+    def answer_join(self) -> None:
+        """Write a snapshot for a newer process that has announced that it joins, once for each process."""
+        data = read_file(self.join_path)
         if succeeded(data, self.pid, self.started):
-            joins = marked(data)
-            if joins is not None and joins != self.answered:
-                self.answered = joins
-                self.write(self.snapshot_path, letter(joins, self.snapshot()))
+            joining_pid = marked(data)
+            if joining_pid is not None and joining_pid != self.snapshot_pid:
+                self.snapshot_pid = joining_pid
+                self.write_file(self.snapshot_path, letter(joining_pid, self.snapshot()))
 
-    def say(self) -> None:
-        """Leave the mark, whole or not at all, once; where it cannot be written, upgrades go by SIGTERM.
+    def write_ready_marker(self) -> None:
+        """Write the ready marker atomically, once; if that fails, the old process drains only on SIGTERM.
 
-        It stands before anyone is told that this process is ready: SIGTERM may reach the old one at once.
+        It is written before anyone is told that this process is ready, since the old process may then get SIGTERM at
+        once.
         """
-        if not self.told:
-            self.told = True  # whether or not it can be written: a read-only place stays read-only
-            self.write(self.ready_path, mark(self.pid, self.started))
+        if not self.marker_written:
+            self.marker_written = True  # also if the write fails: a read-only directory stays read-only
+            self.write_file(self.ready_path, mark(self.pid, self.started))
 
-    def write(self, path: str, data: bytes) -> bool:
-        """Write a file whole; tell whether that could be."""
+    def write_file(self, path: str, data: bytes) -> bool:
+        """Write a file atomically; return whether that succeeded."""
         try:
             write_whole(path, data)
         except OSError as error:
-            self.log(f"cannot write {path} for an upgrade: {os.strerror(error.errno or 0)}")
+            self.log(f"cannot write handover file {path}: {os.strerror(error.errno or 0)}")
             return False
         return True
 
 
-def read(path: str) -> bytes:
-    """Give a file's content, empty where there is none or it cannot be read."""
+def read_file(path: str) -> bytes:
+    """Return a file's content; empty if it is missing or unreadable."""
     try:
         with open(path, "rb") as file:
             return file.read()
@@ -148,12 +152,12 @@
         return b""
 
 
-def alive(pid: int) -> bool:
-    """Tell whether a process is there."""
+def is_alive(pid: int) -> bool:
+    """Return whether a process with this pid exists."""
     try:
         os.kill(pid, 0)
     except ProcessLookupError:
         return False
-    except OSError:  # there, and not ours to signal
+    except OSError:  # it exists, but belongs to another user
         return True
     return True
--- a/petrelhall/gateway/peers.py
+++ b/petrelhall/gateway/peers.py
@@ -1,4 +1,4 @@
-"""Datagrams to and from the other gateways of the tier."""
+"""Datagrams to and from the other gateways."""
 
 from __future__ import annotations
 
@@ -11,48 +11,51 @@
 from petrelhall.net.loop import Loop
 from petrelhall.net.stream import Address, bound
 
-MOST = 256  # bytes in a datagram
-# The first byte of a datagram says whose word it is. The module's own begin with its version, and what nobody here
-# knows goes to it as well: it drops and counts it, so that old and new programs can be mixed.
-SHIFT_KIND = b"\x53"  # a move between pools
+MAX_DATAGRAM_BYTES = 256  # the platform's limit
+# The first byte of a datagram selects its handler. Datagrams of the decision module begin with its message version.
+# Unknown first bytes go to the module as well, which drops and counts them, so that gateways of different versions can
+# run side by side.
+SHIFT_KIND = b"\x53"  # a traffic shift between pools
 
 
 class Peers:
-    """One socket for both ways: the others tell a sender by its address."""
+    """The UDP socket on which this gateway sends and receives: peers identify a sender by its address."""
 
     def __init__(
         self,
         loop: Loop,
         own: Address,
         peers: tuple[Address, ...],
-        everyone: Address,
+        broadcast_address: Address,
         position: int,
-        tell: Callable[[api.PeerMessage], None],
+        notify: Callable[[api.PeerMessage], None],
         counts: Counts,
     ) -> None:
         self.peer_numbers = {peer: number for number, peer in enumerate(peers) if number != position}
-        self.peers, self.broadcast_address, self.tell, self.counts = peers, everyone, tell, counts
+        self.peers, self.broadcast_address, self.notify, self.counts = peers, broadcast_address, notify, counts
         self.datagram_handlers: dict[int, Callable[[int, bytes], None]] = {}  # by first byte
-        self.on_module_datagram: Callable[[int], None] | None = (
-            None  # told of who spoke, whatever it said to others' ears
-        )
+        # Called with the sender's number for each datagram that has no handler and so goes to the decision module.
+        self.on_module_datagram: Callable[[int], None] | None = None
         self.sock = bound(own, socket.SOCK_DGRAM)
-        loop.register(self.sock.fileno(), select.EPOLLIN, self.on_ready)
+        loop.register(self.sock.fileno(), select.EPOLLIN, self.on_readable)
 
     def stop_receiving(self) -> None:
-        """Leave what others say to a newer process on the same address; what this one says is still sent.
+        """Leave incoming datagrams to a newer process bound to the same address; sending still works.
 
-        Two sockets on one address each get what some of the peers say. One that is connected gets nothing but
-        what comes from there: to its own address, nothing.
+        The kernel spreads datagrams over all sockets bound to one address. A connected socket only receives datagrams
+        from the address that it is connected to; connected to its own address, it receives none.
         """
         try:
             self.sock.connect(self.sock.getsockname())
-        except OSError:  # it goes on hearing some of them until this process ends
+        except OSError:  # this process keeps receiving a share of the datagrams until it exits
             self.counts.add("peers", "not_left")
 
     def send(self, content: bytes, to: tuple[int, ...] = ()) -> None:
-        """Tell those of these numbers, or all others; a datagram that cannot go now is lost, as any may be."""
-        if len(content) > MOST:  # one byte more would break a rule of the platform
+        """Send to the peers with these numbers, or broadcast to all others.
+
+        Delivery is best effort: a datagram that cannot be sent now is dropped.
+        """
+        if len(content) > MAX_DATAGRAM_BYTES:  # the platform forbids larger datagrams
             self.counts.add("peers", "too_long")
             return
         for address in [self.peers[number] for number in to] if to else [self.broadcast_address]:
@@ -62,20 +65,23 @@
             except OSError:
                 self.counts.add("peers", "unsent")
 
-    def on_ready(self, mask: int) -> None:
-        """Pass on what a known peer says and drop the rest; epoll tells again if more has come."""
+    def on_readable(self, mask: int) -> None:
+        """Receive one datagram: pass it on if it came from a known peer, else drop it.
+
+        Epoll is level-triggered and reports the socket again if more datagrams are queued.
+        """
         try:
-            content, sender = self.sock.recvfrom(MOST + 1)
-        except OSError:  # nothing after all, or an earlier datagram that found nobody
+            content, sender = self.sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
+        except OSError:  # spurious wake-up, or an ICMP error for a datagram sent earlier
             return
         number = self.peer_numbers.get(sender)
-        if number is None or len(content) > MOST:
+        if number is None or len(content) > MAX_DATAGRAM_BYTES:
             self.counts.add("peers", "dropped")
             return
         self.counts.add("peers", "received")
-        take = self.datagram_handlers.get(content[0]) if content else None
-        if take is not None:
-            return take(number, content)
+        handler = self.datagram_handlers.get(content[0]) if content else None
+        if handler is not None:
+            return handler(number, content)
         if self.on_module_datagram is not None:
             self.on_module_datagram(number)
-        self.tell(api.PeerMessage(number, content))
+        self.notify(api.PeerMessage(number, content))
--- a/petrelhall/wirehost.py
+++ b/petrelhall/wirehost.py
@@ -1,6 +1,7 @@
-"""Hosts gateways on the simulator's wire: translates both ways and decides nothing.
+"""Runs gateways inside the simulator: translates between its protocol and the decision module's interface.
 
-Batches come in on standard input, one JSON line each; one reply line goes out for each on standard output.
+Reads batches of messages from standard input, one JSON document a line, and writes one reply line for each to standard
+output.
 """
 
 from __future__ import annotations
@@ -16,7 +17,8 @@
 from petrelhall.decide.settings import read_settings
 
 ENDINGS = {ending.value: ending for ending in api.Ending}
-FIELDS = {
+# Number of fields of each message after its name; omitted trailing fields are read as null.
+FIELD_COUNTS = {
     "OpenInstance": 3,
     "Stop": 1,
     "Fleet": 4,
@@ -32,11 +34,11 @@
 
 
 class WireError(ValueError):
-    """A line or message that the wire does not allow."""
+    """A message that violates the simulator's protocol."""
 
 
-def read_event(name: str, values: list[Any], lists: dict[int, tuple[api.Server, ...]]) -> api.Event:
-    """Turn one message into an event; ``values`` starts after the instance's number."""
+def read_event(name: str, values: list[Any], server_lists: dict[int, tuple[api.Server, ...]]) -> api.Event:
+    """Convert one message to an event; ``values`` starts after the instance number."""
     if name == "NewRequest":
         return api.Arrival(
             int(values[0]),
@@ -65,8 +67,8 @@
         return api.Alarm(int(values[0]))
     if name == "Fleet":
         if values[2] not in ("delta", "full", "cached", "failed"):
-            raise WireError(f"unknown kind of list {values[2]!r}")
-        return api.ServerList(values[2], () if values[2] == "failed" else lists[values[1]])
+            raise WireError(f"unknown server list kind {values[2]!r}")
+        return api.ServerList(values[2], () if values[2] == "failed" else server_lists[values[1]])
     if name == "ClientLeft":
         return api.ClientGone(int(values[0]))
     if name == "HeadReceived":
@@ -81,113 +83,115 @@
 
 
 def read_report(value: Any) -> dict[str, float]:
-    """Read a load report: an object or nothing."""
+    """Read a load report: an object or null."""
     return {str(key): float(number) for key, number in dict(value or {}).items() if number is not None}
 
 
 def read_servers(entries: list[list[Any]]) -> tuple[api.Server, ...]:
-    """Read the lines of a numbered list."""
+    """Read the entries of a registered server list."""
     return tuple(
         api.Server(
-            str(e[0]),
-            int(e[1] or 0),
-            int(e[3] or 0),
-            str(e[4]),
-            float(1.0 if e[5] is None else e[5]),
-            float(e[6] or 0.0),
+            str(entry[0]),
+            int(entry[1] or 0),
+            int(entry[3] or 0),
+            str(entry[4]),
+            float(1.0 if entry[5] is None else entry[5]),
+            float(entry[6] or 0.0),
         )
-        for e in entries
+        for entry in entries
     )
 
 
-def write_action(who: int, action: api.Action) -> Iterator[list[Any]]:
-    """Turn one action into its messages: one, but for words to several gateways."""
+def write_action(instance: int, action: api.Action) -> Iterator[list[Any]]:
+    """Convert one action to messages: one, or one for each recipient of a ``Tell``."""
     match action:
         case api.Send(request, server, timeout_ms):
-            yield ["Route", who, request, server, timeout_ms]
+            yield ["Route", instance, request, server, timeout_ms]
         case api.Refuse(request, retry_after_ms):
-            yield ["Refuse", who, request, retry_after_ms]
+            yield ["Refuse", instance, request, retry_after_ms]
         case api.Fail(request):
-            yield ["FinishError", who, request]
+            yield ["FinishError", instance, request]
         case api.Cancel(request, attempt):
-            yield ["Withdraw", who, request, attempt]
+            yield ["Withdraw", instance, request, attempt]
         case api.SetTimer(after_ms, token):
-            yield ["SetAlarm", who, after_ms, token]
+            yield ["SetAlarm", instance, after_ms, token]
         case api.Probe(server):
-            yield ["Probe", who, server]
+            yield ["Probe", instance, server]
         case api.Tell(content, to):
-            yield from (["Tell", who, number, content.hex()] for number in to or "*")
+            yield from (["Tell", instance, number, content.hex()] for number in to or "*")
         case api.CounterAdd(name, amount, expire_ms):
-            yield ["Add", who, name, amount, expire_ms]
+            yield ["Add", instance, name, amount, expire_ms]
         case api.Subscribe():
-            yield ["Observe", who, True]
+            yield ["Observe", instance, True]
         case api.Note(text):
-            yield ["NoteDown", who, text]
+            yield ["NoteDown", instance, text]
         case _:
-            raise TypeError(f"no such action: {action!r}")
+            raise TypeError(f"unknown action: {action!r}")
 
 
 class Host:
-    """The gateways of one process, by instance number."""
+    """The gateways of one process, by instance number, and the registered server lists, by list number."""
 
     def __init__(self) -> None:
         self.gateways: dict[int, Gateway] = {}
-        self.lists: dict[int, tuple[api.Server, ...]] = {}
+        self.server_lists: dict[int, tuple[api.Server, ...]] = {}
 
-    def batch(self, line: str) -> str:
-        """Answer one line of input with one line of output."""
+    def handle_batch(self, line: str) -> str:
+        """Process one input line and return its output line."""
         outbox: list[list[Any]] = []
         try:
             batch = json.loads(line)
             now, messages = float(batch["NowMs"]), batch["msgs"]
         except (ValueError, TypeError, KeyError) as error:
-            print(f"wirehost: not a batch: {error!r}: {line[:80]!r}", file=sys.stderr)
+            print(f"wirehost: malformed batch: {error!r}: {line[:80]!r}", file=sys.stderr)
             return '{"outbox":[]}'
         for index, message in enumerate(messages):
             try:
-                self.message(now, message, outbox)
+                self.handle_message(now, message, outbox)
             except (WireError, ValueError, TypeError, KeyError, IndexError) as error:
-                print(f"wirehost: message {index} at {now}: {error!r}: {str(message)[:160]}", file=sys.stderr)
+                print(
+                    f"wirehost: rejected message {index} at {now} ms: {error!r}: {str(message)[:160]}", file=sys.stderr
+                )
         return json.dumps({"outbox": outbox}, separators=(",", ":"))
 
-    def message(self, now: float, message: list[Any], outbox: list[list[Any]]) -> None:
-        """Handle one message, adding its actions to the outbox."""
+    def handle_message(self, now: float, message: list[Any], outbox: list[list[Any]]) -> None:
+        """Process one message and append the resulting messages to the outbox."""
         name, values = message[0], message[1:]
         if name == "Register":
-            self.lists[values[0]] = read_servers(values[1])
+            self.server_lists[values[0]] = read_servers(values[1])
             return
-        if name not in FIELDS:
+        if name not in FIELD_COUNTS:
             raise WireError("unknown message")
-        if len(values) < FIELDS[name]:
-            values = values + [None] * (FIELDS[name] - len(values))
-        who = values[0]
+        if len(values) < FIELD_COUNTS[name]:
+            values = values + [None] * (FIELD_COUNTS[name] - len(values))
+        instance = values[0]
         event: api.Event
         if name == "Stop":
-            self.gateways.pop(who, None)
+            self.gateways.pop(instance, None)
             return
         if name == "OpenInstance":
-            self.gateways[who] = Gateway(read_settings(values[2]), int(values[1]))
+            self.gateways[instance] = Gateway(read_settings(values[2]), int(values[1]))
             event = api.Started()
-        elif who not in self.gateways:
-            raise WireError(f"instance {who!r} was never opened")
+        elif instance not in self.gateways:
+            raise WireError(f"instance {instance!r} is not open")
         else:
-            event = read_event(name, values[1:], self.lists)
+            event = read_event(name, values[1:], self.server_lists)
         try:
-            actions = self.gateways[who].handle(now, event)
-        except Exception as error:  # the wire wants every failure of the decisions told as a Panic
-            place = traceback.extract_tb(error.__traceback__)[-1]
-            outbox.append(["Panic", who, f"{error!r} in {place.name}, line {place.lineno}, on {name}"])
+            actions = self.gateways[instance].handle(now, event)
+        except Exception as error:  # the protocol requires every failure of a decision to be reported as a Panic
+            frame = traceback.extract_tb(error.__traceback__)[-1]
+            outbox.append(["Panic", instance, f"{error!r} in {frame.name}, line {frame.lineno}, on {name}"])
             return
         for action in actions:
-            outbox.extend(write_action(who, action))
+            outbox.extend(write_action(instance, action))
 
 
 def main(source: TextIO = sys.stdin, sink: TextIO = sys.stdout) -> None:
-    """Serve batches until the input ends."""
+    """Process batches until the end of input."""
     host = Host()
     for line in source:
         if line.strip():
-            sink.write(host.batch(line) + "\n")
+            sink.write(host.handle_batch(line) + "\n")
             sink.flush()
 
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""What an upgrade's new process takes over from the one that serves."""
+"""Handover of state from the serving process to a new one during an upgrade."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 PEERS = replace(SETTINGS, plans=PLANS, gateways=4, peers=True, peer_messages_per_s=100)
 
 
-def told(door: Door) -> Any:
-    """Take a snapshot, and carry it as a file does."""
+def transferred_snapshot(door: Door) -> Any:
+    """Take a snapshot and pass it through the encoding of a handover file."""
     gateway = door.gateway
-    taken = snapshot.take(
+    content = snapshot.take(
         gateway, gateway.settings, [gateway.latency[kind] for kind in gateway.settings.classes], gateway.faults
     )
-    return handed(letter(7, taken), 7)
+    return handed(letter(7, content), 7)
 
 
 class Snapshots(unittest.TestCase):
-    """Going on from where another process was."""
+    """A gateway restored from another process's snapshot."""
 
-    def worn(self) -> Door:
-        """Give a gateway that has served for a while: a store drawn down, a server slow, another failing."""
+    def used_gateway(self) -> Door:
+        """Return a gateway that has served for a while: a drained token bucket, one slow server and one that fails."""
         door = Door(PEERS)
         door.now += 5000.0
         door.feed(PeerMessage(1, b"\x02\x00"))
@@ -49,35 +49,35 @@
         door.feed(PeerMessage(1, b"\x02\x00"))
         return door
 
-    def test_a_store_that_was_drawn_down_is_not_full_again(self) -> None:
-        old, new = self.worn(), Door(PEERS)
+    def test_restored_token_bucket_is_not_full_again(self) -> None:
+        old, new = self.used_gateway(), Door(PEERS)
         new.now = old.now + 20.0
-        snapshot.restore(new.gateway, PEERS, told(old), new.now)
+        snapshot.restore(new.gateway, PEERS, transferred_snapshot(old), new.now)
         before, after = old.gateway.customers["a"], new.gateway.customers["a"]
         self.assertAlmostEqual(before.shared, after.shared)
         self.assertAlmostEqual(before.bucket, after.bucket)
         self.assertEqual(new.gateway.codes[after.code], after)
         self.assertEqual(new.gateway.links["s1"].health, old.gateway.links["s1"].health)
-        self.assertEqual(new.gateway.started, old.gateway.started)  # heard long enough to share a cap
+        self.assertEqual(new.gateway.started, old.gateway.started)  # peers were received long enough to share a limit
         for _ in range(9):
             last = new.ask(spread=4)
         self.assertIsInstance(last, Refuse)
 
-    def test_attempts_that_the_old_process_has_out_count_as_a_peers(self) -> None:
+    def test_open_attempts_of_the_old_process_count_as_those_of_a_peer(self) -> None:
         old, new = Door(PEERS), Door(PEERS)
         old.now = new.now = old.now + 5000.0
         for door in (old, new):
             door.feed(PeerMessage(1, b"\x02\x00"))
-        out = [old.ask(spread=1) for _ in range(2)]
-        self.assertTrue(all(isinstance(send, Send) for send in out))
-        snapshot.restore(new.gateway, PEERS, told(old), new.now)
+        attempts = [old.ask(spread=1) for _ in range(2)]
+        self.assertTrue(all(isinstance(send, Send) for send in attempts))
+        snapshot.restore(new.gateway, PEERS, transferred_snapshot(old), new.now)
         self.assertIsInstance(new.ask(spread=1), Send)
-        self.assertNotIsInstance(new.ask(spread=1), Send)  # three in all
-        new.now += 1000.0  # they have ended where they were, or are not told of any more
+        self.assertNotIsInstance(new.ask(spread=1), Send)  # max_open is three in all
+        new.now += 1000.0  # the old process has finished them, or no longer reports them
         self.assertTrue(sends(new.feed(PeerMessage(1, b"\x02\x00"))) or isinstance(new.ask(spread=1), Send))
 
-    def test_what_is_spoilt_or_of_other_settings_is_refused_whole(self) -> None:
-        good = told(self.worn())
+    def test_malformed_snapshot_or_one_of_other_settings_is_rejected_whole(self) -> None:
+        good = transferred_snapshot(self.used_gateway())
         cases: list[Any] = [
             None,
             [],
@@ -100,14 +100,14 @@
                 snapshot.restore(new.gateway, PEERS, data, new.now)
             self.assertEqual((repr(new.gateway.customers), new.gateway.started), before)
 
-    def test_junk_put_anywhere_is_refused_or_harmless(self) -> None:
-        dice = random.Random(5)
-        text = ujson.dumps(told(self.worn()))
+    def test_snapshot_with_a_corrupted_byte_is_rejected_or_harmless(self) -> None:
+        rng = random.Random(5)
+        text = ujson.dumps(transferred_snapshot(self.used_gateway()))
         for _ in range(300):
-            at = dice.randrange(len(text))
-            spoilt = text[:at] + dice.choice('0"{}[],n-e9') + text[at + 1 :]
+            position = rng.randrange(len(text))
+            corrupted = text[:position] + rng.choice('0"{}[],n-e9') + text[position + 1 :]
             try:
-                data = json.loads(spoilt)
+                data = json.loads(corrupted)
                 new = Door(PEERS)
                 snapshot.restore(new.gateway, PEERS, data, new.now)
             except (ValueError, snapshot.SnapshotError):
@@ -115,38 +115,44 @@
             new.ask(spread=4)
 
 
-class Letters(unittest.TestCase):
-    """Two processes and the files between them."""
+class HandoverFiles(unittest.TestCase):
+    """Two processes that communicate through handover files."""
 
     def setUp(self) -> None:
-        folder = self.enterContext(tempfile.TemporaryDirectory())
-        self.enterContext(unittest.mock.patch.object(tempfile, "gettempdir", lambda: folder))
-        self.notes: list[str] = []
-
-    def side(self, pid: int, started: float) -> Handover:
-        side = Handover("n0", self.notes.append)
-        side.pid, side.started = pid, started
-        return side
-
-    def test_who_joins_gets_the_snapshot_of_who_serves(self) -> None:
-        loop, old = Loop(print), self.side(os.getppid(), 1000.0)  # a pid that is there
-        old.watch(loop, 5.0, lambda: True, lambda: self.fail("it was not succeeded yet"), lambda: {"form": 1})
+        directory = self.enterContext(tempfile.TemporaryDirectory())
+        self.enterContext(unittest.mock.patch.object(tempfile, "gettempdir", lambda: directory))
+        self.log_lines: list[str] = []
+
+    def process(self, pid: int, started: float) -> Handover:
+        handover = Handover("n0", self.log_lines.append)
+        handover.pid, handover.started = pid, started
+        return handover
+
+    def test_joining_process_gets_the_snapshot_of_the_serving_one(self) -> None:
+        loop, old = Loop(print), self.process(os.getppid(), 1000.0)  # pid of a process that exists
+        old.watch(
+            loop,
+            5.0,
+            lambda: True,
+            lambda: self.fail("the old process drains although none has succeeded it"),
+            lambda: {"form": 1},
+        )
         old.poll_now()
-        new, got = self.side(os.getpid(), 2000.0), []
+        new, got = self.process(os.getpid(), 2000.0), []
         joining = threading.Thread(target=lambda: got.append(new.join()))
         joining.start()
         while joining.is_alive():
             loop.turn()
         self.assertEqual(got, [{"form": 1}])
-        again = self.side(4321, 3000.0)  # the letter was not for this one, and nobody writes another
-        self.assertIsNone(again.join())
-
-    def test_where_nobody_serves_nothing_is_waited_for(self) -> None:
-        self.assertIsNone(self.side(10, 1.0).join())
-        dead = self.side(os.getpid(), 1.0)
-        dead.write(dead.ready_path, mark(2**22 - 3, 1.0))  # a pid that nobody has
-        self.assertIsNone(dead.join())
-        self.assertFalse(os.path.exists(dead.joins_path))
-        self.assertEqual(self.notes, [])
-        for spoilt in (b"", b"[]", b'{"pid": true}', b'{"pid": -4}'):
-            self.assertIsNone(marked(spoilt))
+        third = self.process(4321, 3000.0)  # the snapshot is addressed to another process, and no new one is written
+        self.assertIsNone(third.join())
+
+    def test_join_does_not_wait_where_no_process_serves(self) -> None:
+        self.assertIsNone(self.process(10, 1.0).join())
+        stale = self.process(os.getpid(), 1.0)
+        stale.write_file(stale.ready_path, mark(2**22 - 3, 1.0))  # pid of no process
+        self.assertIsNone(stale.join())
+        self.assertFalse(os.path.exists(stale.join_path))
+        self.assertEqual(self.log_lines, [])
+        for corrupted in (b"", b"[]", b'{"pid": true}', b'{"pid": -4}'):
+            self.assertIsNone(marked(corrupted))
--- a/tests/test_wirehost.py
+++ b/tests/test_wirehost.py
@@ -1,4 +1,4 @@
-"""A wire conversation through the real process, and bad input."""
+"""The simulator's protocol, spoken with the real process; malformed input included."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 REQUEST = ["NewRequest", 3, 77, 0, 0, "91f03b7c55d20a64", 3000.0, 1, 2, 0, False, False]
 
 
-def converse(*lines: str) -> tuple[list[list[list[Any]]], str]:
-    """Run the process on some lines; its replies and what it wrote on standard error."""
+def run_wirehost(*lines: str) -> tuple[list[list[list[Any]]], str]:
+    """Run the process with these input lines; return its replies and its standard error."""
     run = subprocess.run(
         [sys.executable, "-m", "petrelhall.wirehost"],
         input="\n".join(lines) + "\n",
@@ -38,15 +38,15 @@
     return json.dumps({"NowMs": now, "msgs": messages})
 
 
-def test_a_request_goes_to_the_server_of_the_list() -> None:
-    replies, errors = converse(batch(0), batch(1, *OPEN), batch(2, REQUEST))
+def test_request_is_routed_to_the_listed_server() -> None:
+    replies, errors = run_wirehost(batch(0), batch(1, *OPEN), batch(2, REQUEST))
     assert replies[0] == [] and errors == ""
     assert replies[2][0][:4] == ["Route", 3, 77, "10.0.0.1:1"]
 
 
-def test_words_to_a_customers_set_go_to_its_members_by_number() -> None:
+def test_peer_messages_about_a_customer_go_to_the_gateways_of_its_set() -> None:
     plan = {"QuotaRate": 500.0, "Depth": 500.0, "Parallel": 9}
-    many = PROFILE | {
+    profile = PROFILE | {
         "Balancers": 40,
         "Position": 7,
         "Limits": {"MayTell": True},
@@ -54,25 +54,25 @@
         "FamilyInfo": {"MailPerS": 100.0},
     }
     request = [*REQUEST[:8], 3, 6, False, False]
-    replies, _ = converse(batch(0), batch(1, ["OpenInstance", 3, 42, many], *OPEN[1:]), batch(3000, request))
-    assert [m[2] for m in replies[2] if m[0] == "Tell"] == [6, 8]
+    replies, _ = run_wirehost(batch(0), batch(1, ["OpenInstance", 3, 42, profile], *OPEN[1:]), batch(3000, request))
+    assert [message[2] for message in replies[2] if message[0] == "Tell"] == [6, 8]
 
 
-def test_list_numbers_are_resolved_in_order_within_a_batch() -> None:
-    second = ["Register", 0, [["10.0.0.2:1", 0, 0, 0, "healthy", 1, None]]]
-    replies, _ = converse(batch(1, *OPEN, second, ["Fleet", 3, 2, 0, "full"], REQUEST))
-    assert [m[3] for m in replies[0] if m[0] == "Route"] == ["10.0.0.2:1"]
+def test_server_lists_are_registered_in_order_within_a_batch() -> None:
+    other_list = ["Register", 0, [["10.0.0.2:1", 0, 0, 0, "healthy", 1, None]]]
+    replies, _ = run_wirehost(batch(1, *OPEN, other_list, ["Fleet", 3, 2, 0, "full"], REQUEST))
+    assert [message[3] for message in replies[0] if message[0] == "Route"] == ["10.0.0.2:1"]
 
 
-def test_stop_and_open_in_one_batch_forgets_all() -> None:
-    replies, errors = converse(
+def test_stop_and_open_in_one_batch_discards_all_state() -> None:
+    replies, errors = run_wirehost(
         batch(1, *OPEN, REQUEST), batch(2, ["Stop", 3], OPEN[0]), batch(3, ["ClientLeft", 3, 77])
     )
     assert replies[2] == [] and errors == ""
 
 
-def test_bad_lines_and_messages_are_told_plainly_and_answered() -> None:
-    replies, errors = converse(
+def test_malformed_lines_and_messages_are_logged_in_one_line_and_answered() -> None:
+    replies, errors = run_wirehost(
         "no json",
         batch(1, ["Nonsense", 3]),
         batch(2, ["TimeoutFired", 9, 1]),
