--- a/benchmarks/scale/sampling.py
+++ b/benchmarks/scale/sampling.py
@@ -13,7 +13,7 @@
 
 from benchmarks.scale.fit import fit
 from petrelhall.capacity.records import Slope
-from petrelhall.gateway.program import GARBAGE
+from petrelhall.gateway.program import GC_THRESHOLD_OBJECTS
 
 MEBIBYTE = 1024.0 * 1024.0
 COMMAND = "python -m benchmarks.scale --only {}"
@@ -93,7 +93,7 @@
     before = gc.get_threshold()
     gc.collect()
     gc.freeze()
-    gc.set_threshold(GARBAGE, 20, 50)  # as in Program.run
+    gc.set_threshold(GC_THRESHOLD_OBJECTS, 20, 50)  # as in Program.run
     try:
         yield
     finally:
--- a/benchmarks/scale/subjects/links.py
+++ b/benchmarks/scale/subjects/links.py
@@ -11,7 +11,7 @@
 from benchmarks.scale.installation import ANSWER_MS, DESCRIPTORS, GATEWAYS, PEAK_REQUESTS_PER_S
 from benchmarks.scale.sampling import MEBIBYTE, Effort, Samples, held_bytes
 from petrelhall.capacity.records import Slope
-from petrelhall.gateway.program import CLIENT_SHARE, OWN_SOCKETS
+from petrelhall.gateway.program import CLIENT_SHARE, RESERVED_DESCRIPTORS
 from petrelhall.links.plan import Link, Plan, State
 from petrelhall.links.pool import TICK_MS
 from petrelhall.operator.settings import Links
@@ -24,7 +24,7 @@
 
 def connections_for(descriptors: int) -> int:
     """Give the connections to servers that a gateway with so many descriptors may have, as Program divides them."""
-    room = descriptors - OWN_SOCKETS
+    room = descriptors - RESERVED_DESCRIPTORS
     return room - int(CLIENT_SHARE * room)
 
 
--- a/petrelhall/capacity/figures.py
+++ b/petrelhall/capacity/figures.py
@@ -13,7 +13,7 @@
 from petrelhall.capacity.workload import Rates
 
 DESCRIPTORS = 1024  # of one gateway
-OWN_DESCRIPTORS = 40  # of these, beside those to clients and servers: ``gateway.program.OWN_SOCKETS``
+OWN_DESCRIPTORS = 40  # of these, beside those to clients and servers: ``gateway.program.RESERVED_DESCRIPTORS``
 CLIENT_SHARE = 0.6  # of the rest, for clients: ``gateway.program.CLIENT_SHARE``
 CLIENT_CONNECTIONS = int(CLIENT_SHARE * (DESCRIPTORS - OWN_DESCRIPTORS))
 SERVER_CONNECTIONS = DESCRIPTORS - OWN_DESCRIPTORS - CLIENT_CONNECTIONS
--- a/petrelhall/gateway/mgmt.py
+++ b/petrelhall/gateway/mgmt.py
@@ -25,7 +25,7 @@
 from petrelhall.net.loop import Loop, Steps, now_ms
 from petrelhall.net.stream import NO_DESCRIPTOR, Address, Stream, bound
 
-CALLERS = 16  # connections at once; past that the one waiting longest for its call is let go
+MAX_MANAGEMENT_CONNECTIONS = 16  # connections at once; past that the one waiting longest for its call is let go
 WHOLE_MS = 1500.0  # in which a call must have come whole: some callers send nothing or half and stay for 4 s
 SEND_MS = 1000.0  # in which an answer must have gone out
 LINGER_MS = 400.0  # in which an answered caller may close: a close over what it still sends could eat its answer
@@ -66,7 +66,7 @@
         gateway: str,
     ) -> None:
         self.loop, self.fleet, self.ready, self.tell, self.counts, self.log = loop, fleet, ready, tell, counts, log
-        self.callers: list[Caller] = []  # oldest first
+        self.connections: list[Caller] = []  # oldest first
         self.views: dict[str, Callable[[], Any]] = {}  # of the parts that are on, by name
         self.policy: Callable[[Policy, bytes], tuple[int, dict[str, Any]]] | None = None
         fleet.bans.gateway = gateway
@@ -75,7 +75,7 @@
         self.look(tell=False)
         loop.after(LOOK_MS, self.watch)
         self.listener = bound(address)
-        self.listener.listen(CALLERS)
+        self.listener.listen(MAX_MANAGEMENT_CONNECTIONS)
         self.listen()
 
     def listen(self) -> None:
@@ -99,19 +99,19 @@
                 self.loop.unregister(self.listener.fileno())
                 self.loop.after(PAUSE_MS, self.listen)
             return  # else it has gone already
-        leaving = [caller for caller in self.callers if caller.answered and not caller.stream.outgoing]
-        waiting = leaving or [caller for caller in self.callers if not caller.answered]
-        if len(self.callers) >= CALLERS and waiting:
+        leaving = [caller for caller in self.connections if caller.answered and not caller.stream.outgoing]
+        waiting = leaving or [caller for caller in self.connections if not caller.answered]
+        if len(self.connections) >= MAX_MANAGEMENT_CONNECTIONS and waiting:
             self.counts.add("control", "shed")
             waiting[0].until = 0.0
             waiting[0].stream.notify()
-        elif len(self.callers) >= CALLERS:
+        elif len(self.connections) >= MAX_MANAGEMENT_CONNECTIONS:
             sock.close()
             return
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         caller = Caller(Stream(self.loop, sock, lambda: None))
-        self.callers.append(caller)
+        self.connections.append(caller)
         task = self.loop.spawn(self.converse(caller))
         caller.stream.notify = task.wake
         self.loop.at(caller.until, task.wake)
@@ -155,7 +155,7 @@
                 yield
         finally:
             caller.stream.close()
-            self.callers.remove(caller)
+            self.connections.remove(caller)
 
     def answer(self, call: Call | Wrong | Broken) -> int:
         """Carry out a call and give its status: 2xx for yes, 4xx or 5xx for no."""
--- a/petrelhall/gateway/program.py
+++ b/petrelhall/gateway/program.py
@@ -24,7 +24,7 @@
 from petrelhall.gateway.dispatch import Dispatcher
 from petrelhall.gateway.front import CLOSE_MS, Front
 from petrelhall.gateway.handover import CALM_LOOK_MS, LOOK_MS, Handover
-from petrelhall.gateway.mgmt import CALLERS, Management
+from petrelhall.gateway.mgmt import MAX_MANAGEMENT_CONNECTIONS, Management
 from petrelhall.gateway.peers import SHIFT, Peers
 from petrelhall.gateway.platform import Platform
 from petrelhall.gateway.requests import Desk
@@ -44,11 +44,11 @@
     from petrelhall.gateway.learning import Learning
     from petrelhall.gateway.membership import Membership
     from petrelhall.gateway.sharing import Sharing
-    from petrelhall.gateway.shifting import Shifter
+    from petrelhall.gateway.shifting import TrafficShifter
 
-OWN_SOCKETS = 40  # descriptors for all but clients and servers, with some to spare
+RESERVED_DESCRIPTORS = 40  # descriptors for all but clients and servers, with some to spare
 LAST_MS = 2000.0  # after the last request's deadline, to end whatever would not end by itself
-GARBAGE = 20000  # objects made and not freed between two looks for cycles
+GC_THRESHOLD_OBJECTS = 20000  # objects made and not freed between two looks for cycles
 CLIENT_SHARE = 0.6  # of the other descriptors
 
 
@@ -67,7 +67,7 @@
         self.module = Gateway(self.module_settings(), config.seed)
         self.dispatcher = Dispatcher(self.loop, self.module, self.counts, log)
         platform = self.platform = Platform(settings, config.classes, config.plans)
-        own = OWN_SOCKETS + (CALLERS if config.mgmt else 0)
+        own = RESERVED_DESCRIPTORS + (MAX_MANAGEMENT_CONNECTIONS if config.mgmt else 0)
         room = max(20, min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0]) - own)
         clients = int(CLIENT_SHARE * room)
         plan = Plan(
@@ -78,7 +78,7 @@
         desk = Desk(self.loop, self.dispatcher.tell, self.pool, self.counts, settings.max_retry_after_ms)
         self.dispatcher.to_request = desk.give
         self.desk = desk
-        self.shifter: Shifter | None = None
+        self.shifter: TrafficShifter | None = None
         self.peers: Peers | None = None
         self.membership: Membership | None = None
         self.sharing: Sharing | None = None
@@ -280,9 +280,9 @@
         if self.shifter is None:
             if settings is None:
                 return
-            from petrelhall.gateway.shifting import Shifter
+            from petrelhall.gateway.shifting import TrafficShifter
 
-            self.shifter = Shifter(
+            self.shifter = TrafficShifter(
                 self.loop,
                 self.fleet,
                 self.pool.plan,
@@ -293,7 +293,7 @@
                 self.config.plans,
             )
             if self.peers is not None:
-                self.shifter.to_peers, self.peers.on_word[SHIFT[0]] = self.peers.send, self.shifter.heard
+                self.shifter.to_peers, self.peers.on_word[SHIFT[0]] = self.peers.send, self.shifter.on_peer_message
         self.shifter.configure(settings)
         self.desk.sides = self.shifter if settings is not None else None
 
@@ -366,7 +366,9 @@
         """Serve until told to end."""
         gc.collect()
         gc.freeze()  # what is here now stays: no collection needs to look at it again
-        gc.set_threshold(GARBAGE, 20, 50)  # requests leave no cycles: connections alone do, and those are few
+        gc.set_threshold(
+            GC_THRESHOLD_OBJECTS, 20, 50
+        )  # requests leave no cycles: connections alone do, and those are few
         self.loop.run()
         signal.signal(signal.SIGTERM, signal.SIG_IGN)  # it ends already: the interpreter's own end would die of it
         self.log.write(str(self.counts))
--- a/petrelhall/gateway/shifting.py
+++ b/petrelhall/gateway/shifting.py
@@ -30,7 +30,7 @@
 STATES = list(State)
 
 
-class Shifter:
+class TrafficShifter:
     """One gateway's part in the operators' move; does nothing where they have set none."""
 
     def __init__(
@@ -53,7 +53,7 @@
         self.complained: set[str] = set()
         self.labels: dict[str, str | None] = {}  # of each box, as it was last listed
         self.to_peers: Callable[[bytes], None] | None = None
-        self.spoken = 0.0
+        self.last_announced_ms = 0.0
         self.record: list[str] | None = None  # judged answers, until they are written
 
     # Settings
@@ -81,7 +81,7 @@
         if self.fleet.entries:
             self.tell(self.fleet.relabel())
         if self.timer is None and self.mover is not None:
-            self.look()
+            self.tick()
 
     def label(self, entry: dict[str, object]) -> str | None:
         """Name a box's pool; one that is in none or in two is not used, and told of once."""
@@ -154,13 +154,13 @@
 
     # Time
 
-    def look(self) -> None:
+    def tick(self) -> None:
         """Let the core go on, and tell people and peers."""
         mover = self.mover
         if mover is None:
             self.timer = None
             return
-        self.timer = self.loop.after(LOOK_MS, self.look)
+        self.timer = self.loop.after(LOOK_MS, self.tick)
         self.write_record(mover)
         now = now_ms()
         if len(self.labels) > 2 * len(self.fleet.entries) + 100:  # boxes that have gone for good
@@ -170,8 +170,8 @@
         turns = mover.look(now, now / 1000.0, ready)
         for turn in turns:
             self.note(mover, turn)
-        if self.to_peers is not None and (turns or now - self.spoken >= WORD_MS):
-            self.spoken = now
+        if self.to_peers is not None and (turns or now - self.last_announced_ms >= WORD_MS):
+            self.last_announced_ms = now
             self.to_peers(
                 WORD.pack(
                     SHIFT,
@@ -212,7 +212,7 @@
             )
         )
 
-    def heard(self, number: int, content: bytes) -> None:
+    def on_peer_message(self, number: int, content: bytes) -> None:
         """Take in what another gateway says; junk and other moves are passed over."""
         mover = self.mover
         if mover is None or len(content) != WORD.size:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -271,7 +271,7 @@
         self.assertEqual(len(names), len(set(names)))
 
     def test_constants_of_the_program_are_those_of_the_program(self) -> None:
-        self.assertEqual(figures.OWN_DESCRIPTORS, program.OWN_SOCKETS)
+        self.assertEqual(figures.OWN_DESCRIPTORS, program.RESERVED_DESCRIPTORS)
         self.assertEqual(figures.CLIENT_SHARE, program.CLIENT_SHARE)
         self.assertEqual(figures.DESCRIPTORS, Budget().descriptors)
         self.assertEqual(figures.POOL_CLOCK_S * 1000.0, pool.TICK_MS)
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -24,7 +24,7 @@
 from petrelhall.gateway import front
 from petrelhall.gateway.dispatch import Dispatcher
 from petrelhall.gateway.front import Front
-from petrelhall.gateway.mgmt import CALLERS, Management
+from petrelhall.gateway.mgmt import MAX_MANAGEMENT_CONNECTIONS, Management
 from petrelhall.gateway.platform import Platform, Spoken
 from petrelhall.gateway.requests import Desk
 from petrelhall.http.h1 import Message
@@ -493,7 +493,7 @@
             "n0",
         )
         self.stack.callback(made.listener.close)
-        self.stack.callback(lambda: [caller.stream.close() for caller in made.callers])
+        self.stack.callback(lambda: [caller.stream.close() for caller in made.connections])
         self.where = made.listener.getsockname()
         return made
 
@@ -506,11 +506,11 @@
         caller.setblocking(False)
         self.assertTrue(self.read(caller, None).startswith(b"HTTP/1.1 200"))
         caller.close()
-        self.turn_until(lambda: not made.callers)
+        self.turn_until(lambda: not made.connections)
 
     def test_answered_callers_that_stay_keep_no_place(self) -> None:
         self.management()
-        for _ in range(2 * CALLERS):  # none of them closes
+        for _ in range(2 * MAX_MANAGEMENT_CONNECTIONS):  # none of them closes
             self.assertTrue(self.read(self.client(HEALTH.replace(b"/healthz", b"/control/ready")), b"yes\n"))
 
     def test_no_descriptor_for_a_caller_does_not_spin(self) -> None:
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -20,7 +20,7 @@
 from petrelhall.decide.policy import Gateway
 from petrelhall.decide.settings import read_settings
 from petrelhall.gateway.requests import Request
-from petrelhall.gateway.shifting import Shifter
+from petrelhall.gateway.shifting import TrafficShifter
 from petrelhall.links.attempt import Reach, Result
 from petrelhall.links.plan import Plan
 from petrelhall.net.counts import Counts
@@ -459,8 +459,8 @@
         self.plan = Plan(Links(), 10, 30000.0, 10000.0)
         self.shifter = self.shifter_of_a_gateway()
 
-    def shifter_of_a_gateway(self) -> Shifter:
-        shifter = Shifter(
+    def shifter_of_a_gateway(self) -> TrafficShifter:
+        shifter = TrafficShifter(
             self.loop,
             self.fleet,
             self.plan,
@@ -487,7 +487,7 @@
     def test_boxes_are_labelled_and_one_in_no_pool_is_not_used_and_told_of_once(self) -> None:
         labels = {server.address: (server.pool, server.phase) for server in self.told[0].servers}
         self.assertEqual(labels, {"old-1": ("old", "healthy"), "new-1": ("new", "healthy"), "odd": ("", "cordoned")})
-        self.shifter.look()
+        self.shifter.tick()
         self.assertEqual(sum("odd belongs to no pool" in note for note in self.notes), 1)
 
     def test_what_spilt_was_never_sent_or_met_a_warming_box_is_no_evidence(self) -> None:
@@ -507,16 +507,16 @@
         other = self.shifter_of_a_gateway()
         assert self.shifter.mover is not None and other.mover is not None
         self.shifter.mover.turn(State.HALTED, "worse")
-        self.shifter.spoken = 0.0
+        self.shifter.last_announced_ms = 0.0
         self.sent.clear()
-        self.shifter.look()
+        self.shifter.tick()
         word = self.sent[-1]
         self.assertLess(len(word), 257)
         for junk in (word[:-1], word + b"x", word[:1] + b"abcd" + word[5:], word[:5] + b"\xff" + word[6:]):
-            other.heard(1, junk)
+            other.on_peer_message(1, junk)
         self.assertEqual(other.mover.peers, {})
-        other.heard(1, word)
-        other.look()
+        other.on_peer_message(1, word)
+        other.tick()
         self.assertIs(other.mover.state, State.HALTED)
 
     def test_a_move_of_another_name_begins_anew_and_the_same_goes_on(self) -> None:
