--- a/petrelhall/gateway/agreement.py
+++ b/petrelhall/gateway/agreement.py
@@ -39,7 +39,7 @@
 from petrelhall.control.calls import Policy
 from petrelhall.decide import interface as api
 from petrelhall.gateway.peers import Peers
-from petrelhall.gateway.platform import Spoken
+from petrelhall.gateway.platform import ForwardedRequest
 from petrelhall.gateway.requests import Request
 from petrelhall.net.counts import Counts
 from petrelhall.net.files import write_safely
@@ -148,7 +148,7 @@
     def admitted(self, request: Request) -> None:
         """Tell the boxes under which version a request is let in, where they are to be told."""
         stamp = self.stamp()
-        if stamp is not None and isinstance(request.message, Spoken):
+        if stamp is not None and isinstance(request.message, ForwardedRequest):
             request.message.headers.append((b"X-Policy", stamp))
 
     def worth_waiting(self) -> float:
--- a/petrelhall/gateway/dispatch.py
+++ b/petrelhall/gateway/dispatch.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from petrelhall.decide import interface as api
-from petrelhall.gateway.requests import Fault, Order
+from petrelhall.gateway.requests import ModuleFault, RequestAction
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, describe, now_ms
 
@@ -30,7 +30,7 @@
         self.loop, self.module, self.counts, self.log = loop, module, counts, log
         self.waiting: deque[api.Event] = deque()
         self.busy = False
-        self.to_request: Callable[[Order], None] = lambda order: None
+        self.to_request: Callable[[RequestAction], None] = lambda order: None
         self.to_peers: Callable[[bytes, tuple[int, ...]], None] = lambda content, to: None
         self.to_counter: Callable[[int, float, float], None] | None = None
 
@@ -56,7 +56,7 @@
             self.log(f"module failed on {type(event).__name__}: {describe(error)}")
             request = getattr(event, "request", None)
             if request is not None and not isinstance(event, api.ClientGone):
-                self.loop.after(0.0, lambda: self.to_request(Fault(request)))
+                self.loop.after(0.0, lambda: self.to_request(ModuleFault(request)))
             return list(self.module.actions)
 
     def carry_out(self, action: api.Action) -> None:
--- a/petrelhall/gateway/front.py
+++ b/petrelhall/gateway/front.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from petrelhall.gateway.platform import READY
-from petrelhall.gateway.requests import Answer, Desk, Request, Served
+from petrelhall.gateway.requests import Answer, Request, RequestHandler, Served
 from petrelhall.http.h1 import MOST_INFLOWING, Broken, Flowing, Headers, Inflow, Message, ServerSide
 from petrelhall.http.room import Room
 from petrelhall.net.counts import Counts
@@ -22,22 +22,22 @@
 PAUSE_MS = 20.0  # in which no connection is taken when there are no descriptors
 # A first request must be whole within FIRST_MS of connecting, however slowly it trickles in, and a later one
 # within WHOLE_MS of its first byte; a connection without a request is kept for IDLE_MS.
-FIRST_MS, WHOLE_MS, IDLE_MS = 2200.0, 2200.0, 8000.0
+FIRST_REQUEST_TIMEOUT_MS, WHOLE_MS, IDLE_TIMEOUT_MS = 2200.0, 2200.0, 8000.0
 # Beyond that, a request is given time for what it has sent: clients may send a body at 64 kB/s after a head of
 # 2 s (the operators' days), so each byte come earns it the time of two at that pace. A trickle earns nothing.
 MS_PER_BYTE = 2 * 1000.0 / 64000.0
-SWEEP_MS = 200.0  # between two looks for connections whose time is up
-ROOM = 8  # connections ended at once where there are too many, and more while many are seen to wait
+SWEEP_INTERVAL_MS = 200.0  # between two looks for connections whose time is up
+EVICTION_BATCH = 8  # connections ended at once where there are too many, and more while many are seen to wait
 MOST_ROOM = 0.25  # of all clients: so many at most
 # What a request has waited for in the kernel is taken off its time from here on; an ordinary turn takes less.
 WAITED_MS = 20.0
 SEND_MS = 10000.0  # in which a client must have read its answer
 STALL_MS = 4000.0  # in which a flowing answer must move on, from the server and to the client
 # An answer may flow for FLOW_MS, and for as long again as its bytes take at 4 kB/s: a trickle ends some time.
-FLOW_MS, FLOW_MS_PER_BYTE = 30000.0, 1000.0 / 4000.0
+STREAM_TIMEOUT_MS, STREAM_MS_PER_BYTE = 30000.0, 1000.0 / 4000.0
 LINGER_MS = 400.0  # in which a client may read an answer that came before it had said all
-CROWDED_MS = 50.0  # the same while others wait for its descriptor
-ASK_TO_LEAVE_MS, CLOSE_MS = 450.0, 800.0  # after being told to end: clients still come for up to 400 ms
+CROWDED_LINGER_TIMEOUT_MS = 50.0  # the same while others wait for its descriptor
+ASK_TO_LEAVE_MS, LISTENER_CLOSE_DELAY_MS = 450.0, 800.0  # after being told to end: clients still come for up to 400 ms
 # Where a newer process takes the new connections, idle ones stay until so long before the last answers are due:
 # whoever asks again by then hears with its answer that the connection ends, and no end crosses a request.
 LAST_ASK_MS = 700.0
@@ -50,7 +50,7 @@
 class Wording(Protocol):
     """The platform's way to read requests and word answers."""
 
-    def request(self, message: Message) -> Request | Broken:
+    def parse_request(self, message: Message) -> Request | Broken:
         """Read a request."""
 
     def answer(self, answer: Answer | Broken) -> tuple[int, Headers, bytes]:
@@ -64,7 +64,7 @@
         self.stream, self.http = stream, ServerSide(stream, room, vet)
         self.busy = self.answered = self.begun = False  # one request in hand; any answered; the next begun
         self.since = now_ms()  # when it connected, or was last answered
-        self.until = self.since + FIRST_MS  # when it is over, unless a request is whole by then
+        self.until = self.since + FIRST_REQUEST_TIMEOUT_MS  # when it is over, unless a request is whole by then
         self.counted = 0  # bytes of the stream that came before this request
         self.come, self.moved = 0, self.since  # bytes of it seen to have come, and when the last of them
 
@@ -82,7 +82,7 @@
         return self.stream.left()
 
 
-class Front:
+class Listener:
     """The listener and its clients."""
 
     def __init__(
@@ -90,7 +90,7 @@
         loop: Loop,
         address: Address,
         wording: Wording,
-        desk: Desk,
+        request_handler: RequestHandler,
         ready: Callable[[], bool],
         counts: Counts,
         log: Callable[[str], None],
@@ -98,14 +98,14 @@
         room: Room,
     ) -> None:
         self.room = room  # for bodies and large answers
-        self.loop, self.wording, self.desk, self.ready = loop, wording, desk, ready
+        self.loop, self.wording, self.request_handler, self.ready = loop, wording, request_handler, ready
         self.counts, self.log, self.most = counts, log, most
         self.clients: set[Client] = set()
         self.names: set[bytes] = set()  # of the requests in hand
         self.leaving = False  # clients are asked to leave with their next answer
         self.closing = False  # the listener is closed, or closes as soon as all that it holds is taken
         self.parting = False  # idle clients are closed
-        self.ending = 0  # connections that are ended and still drained
+        self.lingering = 0  # connections that are ended and still drained
         self.succeeded = False  # a newer process takes the new connections
         self.end_by = float("inf")  # Unix ms by which what is taken must be answered
         self.on_empty: Callable[[], None] = lambda: None
@@ -115,7 +115,7 @@
         self.queued_since = self.watched_at = self.ready_at = now_ms()  # known empty; watched; told of (Unix ms)
         self.accepted = 0  # connections taken since it was known to be empty
         self.accept_more()
-        loop.after(SWEEP_MS, self.sweep)
+        loop.after(SWEEP_INTERVAL_MS, self.sweep)
 
     # Taking connections
 
@@ -170,7 +170,7 @@
         stream = Stream(self.loop, sock, lambda: None)
         stream.tell_close = stream.sift = True  # a client that leaves behind a flood has left all the same
         stream.queued_since = self.queued_since
-        client = Client(stream, self.room, self.wording.request)
+        client = Client(stream, self.room, self.wording.parse_request)
         self.clients.add(client)
         client.stream.notify = self.loop.spawn(self.converse(client)).wake
         return True
@@ -187,8 +187,8 @@
             free.sort(key=lambda c: (c.answered, c.http.begun, c.since))
             # As many as have come without an end so far: where hundreds wait, eight at a time would let them wait
             # for seconds. Those that are being ended hold their descriptors for a moment more: that many fewer.
-            wanted = max(ROOM, min(self.accepted, int(MOST_ROOM * self.most)))
-            free = free[: max(0, wanted - self.ending)]
+            wanted = max(EVICTION_BATCH, min(self.accepted, int(MOST_ROOM * self.most)))
+            free = free[: max(0, wanted - self.lingering)]
             for client in free:
                 self.counts.add("connections", "made_room")
                 client.until = 0.0
@@ -200,7 +200,7 @@
 
     def sweep(self) -> None:
         """Wake the connections whose time is up; one look at all costs less than a timer for each."""
-        self.loop.after(SWEEP_MS, self.sweep)
+        self.loop.after(SWEEP_INTERVAL_MS, self.sweep)
         now = now_ms()
         for client in self.clients:
             if not client.busy and client.until <= now:
@@ -239,12 +239,12 @@
             status, body = (200, b"ready\n") if self.ready() and not self.leaving else (503, b"not ready\n")
             keep = client.http.answer(status, [], body, self.leaving)
         else:
-            request = self.wording.request(asked) if isinstance(asked, Message) else asked
+            request = self.wording.parse_request(asked) if isinstance(asked, Message) else asked
             if isinstance(request, Request) and isinstance(asked, Message) and asked.rest is None:
                 request = without_wait(request, now_ms() - client.stream.came_since)
             if isinstance(request, Request) and request.left_ms > self.end_by - now_ms():
                 request = replace(request, left_ms=max(1.0, self.end_by - now_ms()))
-            if isinstance(request, Request) and request.name in self.names:
+            if isinstance(request, Request) and request.request_id in self.names:
                 request = Broken(400, "a request of that name is in hand")  # which goes on undisturbed
             if isinstance(request, Broken):
                 if not self.counts.get("answered", f"bad_{request.status}"):  # the first of each, for on-call
@@ -253,13 +253,13 @@
                 answer = request
             else:
                 rest = asked.rest if isinstance(asked, Message) else None
-                self.names.add(request.name)
+                self.names.add(request.request_id)
                 if rest is not None:
                     self.receive(client, rest)
                 try:
-                    answer = yield from self.desk.serve(request, client)
+                    answer = yield from self.request_handler.serve(request, client)
                 finally:
-                    self.names.discard(request.name)
+                    self.names.discard(request.request_id)
                     if rest is not None:
                         self.room.flows -= 1
                         client.stream.keep, client.stream.sift = MOST_UNREAD, True
@@ -279,7 +279,7 @@
         if not keep and not (self.crowded and isinstance(asked, Broken) and asked.status == 408):
             yield from self.linger(client, client.http.receiving)
         client.busy, client.answered, client.begun, client.since = False, True, False, now_ms()
-        client.until, client.counted = client.since + IDLE_MS, client.stream.received
+        client.until, client.counted = client.since + IDLE_TIMEOUT_MS, client.stream.received
         return keep and not client.gone
 
     def asked(self, client: Client) -> Steps[Message | Broken | None]:
@@ -325,13 +325,13 @@
         # Only answers that served are passed on: the status is the server's 200.
         client.http.begin(answer.status, [(b"Content-Type", kind)] if kind else [], answer.length, last)
         data, whole, keep = answer.first, False, False
-        stall, last_ms = now_ms() + STALL_MS, now_ms() + FLOW_MS
+        stall, last_ms = now_ms() + STALL_MS, now_ms() + STREAM_TIMEOUT_MS
         timer = self.loop.at(stall, wake)
         try:
             while not client.gone:
                 if data or whole:
                     keep = client.http.more(data, whole)
-                    last_ms += len(data) * FLOW_MS_PER_BYTE
+                    last_ms += len(data) * STREAM_MS_PER_BYTE
                     data, stall = b"", now_ms() + STALL_MS
                     timer.cancel()
                     timer = self.loop.at(stall, wake)
@@ -376,18 +376,18 @@
         """
         client.stream.discard()
         while sending and not client.gone and not client.overdue() and client.come - client.counted < MOST_INFLOWING:
-            timer = self.loop.after(SWEEP_MS, self.loop.this_task().wake)
+            timer = self.loop.after(SWEEP_INTERVAL_MS, self.loop.this_task().wake)
             yield
             timer.cancel()
         client.stream.finish_sending()
-        until = now_ms() + (CROWDED_MS if self.crowded else LINGER_MS)
+        until = now_ms() + (CROWDED_LINGER_TIMEOUT_MS if self.crowded else LINGER_MS)
         timer = self.loop.at(until, self.loop.this_task().wake)
-        self.ending += 1
+        self.lingering += 1
         try:
             while not client.gone and now_ms() < until:
                 yield
         finally:
-            self.ending -= 1
+            self.lingering -= 1
             timer.cancel()
 
     def part(self, client: Client) -> Steps[None]:
@@ -413,18 +413,18 @@
         ``longest_ms`` is the longest deadline of any class: with it the time of a kill is known.
         """
         self.end_by = now_ms() + min(longest_ms, KILL_CAP_MS) + KILL_AFTER_MS - WRITE_MS
-        self.desk.end_all_by(self.end_by)
+        self.request_handler.end_all_by(self.end_by)
         if self.succeeded:
             self.loop.at(self.end_by - LAST_ASK_MS, self.part_some)
         else:
             self.loop.after(ASK_TO_LEAVE_MS, self.ask_to_leave)
-            self.loop.after(CLOSE_MS, self.part_all)
+            self.loop.after(LISTENER_CLOSE_DELAY_MS, self.close_idle_connections)
 
     def ask_to_leave(self) -> None:
         """Tell clients with their next answer that it is the last."""
         self.leaving = True
 
-    def part_all(self) -> None:
+    def close_idle_connections(self) -> None:
         """Listen no more, and end the idle connections at once."""
         self.parting = True
         self.close()
@@ -440,7 +440,7 @@
             (client for client in self.clients if not client.busy and not client.http.begun),
             key=lambda client: client.since,
         )
-        for client in idle[:ROOM]:
+        for client in idle[:EVICTION_BATCH]:
             client.until = 0.0
             client.stream.notify()
         if idle:
--- a/petrelhall/gateway/learning.py
+++ b/petrelhall/gateway/learning.py
@@ -26,7 +26,7 @@
     Tick,
 )
 from petrelhall.distribution.timing import Timing
-from petrelhall.gateway.platform import Spoken
+from petrelhall.gateway.platform import ForwardedRequest
 from petrelhall.gateway.requests import Request
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import OFFSET_MS, Loop, Timer, now_ms
@@ -119,7 +119,7 @@
 
     def admitted(self, request: Request) -> None:
         """Tell the boxes under which version a request is let in, where they are to be told."""
-        if self.settings.stamp and isinstance(request.message, Spoken):
+        if self.settings.stamp and isinstance(request.message, ForwardedRequest):
             name = self.core.document.name
             # By the machine's monotonic clock: what all processes of a machine share.
             stamp = b"%d %s one %.3f" % (name.number, name.digest.hex()[:8].encode(), self.held_at - OFFSET_MS)
--- a/petrelhall/gateway/platform.py
+++ b/petrelhall/gateway/platform.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Spoken:
+class ForwardedRequest:
     """A request's message and what of its headers goes on to servers."""
 
     message: Message
@@ -64,7 +64,7 @@
 
     # Clients
 
-    def request(self, message: Message) -> Request | Broken:
+    def parse_request(self, message: Message) -> Request | Broken:
         """Read a client's request; one that is not in the platform's form goes no further."""
         path, _, query = message.target.partition(b"?")
         if path != PATH:
@@ -96,7 +96,7 @@
                 units,
                 spread,
                 headers.get(b"x-retry") == b"1",
-                Spoken(message, passed_on(message)),
+                ForwardedRequest(message, passed_on(message)),
                 headers[b"x-request-id"],
                 safe,
                 first,
@@ -141,26 +141,26 @@
 
     # Servers
 
-    def outgoing(self, message: Spoken, wait_ms: float) -> tuple[bytes, bytes, Headers, bytes]:
+    def outgoing(self, message: ForwardedRequest, wait_ms: float) -> tuple[bytes, bytes, Headers, bytes]:
         """Word an attempt: all that the client sent unchanged, and how long we wait."""
         asked = message.message
         headers = [*message.headers, (b"X-Deadline", b"%dm" % max(1, int(wait_ms)))]
         return asked.method, asked.target, headers, asked.body if asked.rest is None else asked.rest.first
 
-    def rest(self, message: Spoken) -> Inflow | None:
+    def rest(self, message: ForwardedRequest) -> Inflow | None:
         """Give the rest of a body that is passed on as it comes, if there is one."""
-        return message.message.rest if isinstance(message, Spoken) else None
+        return message.message.rest if isinstance(message, ForwardedRequest) else None
 
     def verdict(self, reply: Reply) -> Verdict:
         """Read a server's answer; only its own word that the request did not run is proof of that."""
-        report = self.report(reply.headers.get(b"x-load", b""))
+        report = self.parse_load_report(reply.headers.get(b"x-load", b""))
         if reply.status == 200:
             return Verdict(Ending.OK, report)
         if reply.status in (503, 504) and reply.headers.get(b"x-not-run") == b"1":
             return Verdict(Ending.FULL, report)
         return Verdict(Ending.ERROR, report)
 
-    def report(self, value: bytes) -> dict[str, float]:
+    def parse_load_report(self, value: bytes) -> dict[str, float]:
         """Read a load report: a word, then fields; those that the settings do not name are passed over.
 
         A report with a figure that is not a number from 0 on is no report: one nan in a server's cost would
--- a/petrelhall/gateway/program.py
+++ b/petrelhall/gateway/program.py
@@ -22,12 +22,12 @@
 from petrelhall.gateway.config import Config, ConfigError, load
 from petrelhall.gateway.counter import CounterClient
 from petrelhall.gateway.dispatch import Dispatcher
-from petrelhall.gateway.front import CLOSE_MS, Front
+from petrelhall.gateway.front import LISTENER_CLOSE_DELAY_MS, Listener
 from petrelhall.gateway.handover import CALM_LOOK_MS, LOOK_MS, Handover
 from petrelhall.gateway.mgmt import CALLERS, Management
 from petrelhall.gateway.peers import SHIFT, Peers
 from petrelhall.gateway.platform import Platform
-from petrelhall.gateway.requests import Desk
+from petrelhall.gateway.requests import RequestHandler
 from petrelhall.http.room import Room
 from petrelhall.links.plan import Plan
 from petrelhall.links.pool import Pool
@@ -75,9 +75,11 @@
         )
         body_room = Room(config.memory_mb)
         self.pool = Pool(self.loop, self.fleet, platform, self.counts, plan, config.connect_timeout_ms, body_room)
-        desk = Desk(self.loop, self.dispatcher.tell, self.pool, self.counts, settings.max_retry_after_ms)
-        self.dispatcher.to_request = desk.give
-        self.desk = desk
+        request_handler = RequestHandler(
+            self.loop, self.dispatcher.tell, self.pool, self.counts, settings.max_retry_after_ms
+        )
+        self.dispatcher.to_request = request_handler.deliver
+        self.request_handler = request_handler
         self.shifter: Shifter | None = None
         self.peers: Peers | None = None
         self.membership: Membership | None = None
@@ -91,8 +93,10 @@
         self.apply(operator.shared, None)
         self.start_list()
         self.take_over()
-        self.front = Front(self.loop, config.listen, platform, desk, self.healthy, self.counts, log, clients, body_room)
-        self.front.on_empty = self.loop.stop
+        self.listener = Listener(
+            self.loop, config.listen, platform, request_handler, self.healthy, self.counts, log, clients, body_room
+        )
+        self.listener.on_empty = self.loop.stop
         self.serving = True
         self.mgmt: Management | None = None
         if config.mgmt is not None:
@@ -129,7 +133,7 @@
 
     def ready(self) -> bool:
         """Tell whether this process takes clients: it listens, is not ending, and knows servers to send to."""
-        return not self.stopping and self.serving and not self.front.closing and bool(self.fleet.addresses)
+        return not self.stopping and self.serving and not self.listener.closing and bool(self.fleet.addresses)
 
     def healthy(self) -> bool:
         """Tell the clients' front whether to send here: not before it is known once what is in force.
@@ -198,7 +202,7 @@
                     self.counts,
                     self.log.write,
                 )
-                self.desk.witness = self.membership.saw
+                self.request_handler.on_attempt_end = self.membership.saw
             if self.operator.accord.on and self.knows_others():
                 from petrelhall.gateway.agreement import Agreement
 
@@ -215,7 +219,7 @@
                     self.counts,
                     self.log.write,
                 )
-                self.desk.agreed = self.agreement
+                self.request_handler.policy_gate = self.agreement
         if self.operator.distribution.on:
             self.learn()
         if self.operator.quota.on:
@@ -252,7 +256,7 @@
             self.counts,
             self.log.write,
         )
-        self.desk.agreed = self.agreement
+        self.request_handler.policy_gate = self.agreement
 
     def unfit(self, shared: Shared) -> str:
         """Say why a shared part cannot be served here; empty where it can."""
@@ -295,7 +299,7 @@
             if self.peers is not None:
                 self.shifter.to_peers, self.peers.on_word[SHIFT[0]] = self.peers.send, self.shifter.heard
         self.shifter.configure(settings)
-        self.desk.sides = self.shifter if settings is not None else None
+        self.request_handler.pool_router = self.shifter if settings is not None else None
 
     def counter_at(self, address: Address) -> CounterClient:
         """Have calls to the counter go to an address."""
@@ -423,7 +427,7 @@
             self.agreement.hand_over()
         if self.peers is not None:
             self.peers.only_speak()
-        self.front.hand_over()
+        self.listener.hand_over()
 
     def begin_end(self) -> None:
         """Serve on while clients may still come, answer what was taken, and stop; once only."""
@@ -433,8 +437,8 @@
             if self.membership is not None:
                 self.membership.leave()
             longest = max(kind.deadline_ms for kind in self.config.settings.classes)
-            self.front.stop(longest)
-            self.loop.after(CLOSE_MS + longest + LAST_MS, self.loop.stop)  # nobody waits any more
+            self.listener.stop(longest)
+            self.loop.after(LISTENER_CLOSE_DELAY_MS + longest + LAST_MS, self.loop.stop)  # nobody waits any more
 
 
 def main(arguments: list[str] | None = None) -> int:
--- a/petrelhall/gateway/requests.py
+++ b/petrelhall/gateway/requests.py
@@ -35,7 +35,7 @@
     set_size: int
     repeat: bool
     message: Any
-    name: bytes = b""  # the client's own, none other in hand has it
+    request_id: bytes = b""  # the client's own, none other in hand has it
     free: bool = True  # to run it twice costs nothing
     set_first: int = 0  # number of the first gateway of the customer's set
 
@@ -95,13 +95,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Fault:
+class ModuleFault:
     """Stands among the module's actions where the module itself broke down over a request."""
 
     request: int
 
 
-Order = api.Send | api.Refuse | api.Fail | api.Cancel | Fault
+RequestAction = api.Send | api.Refuse | api.Fail | api.Cancel | ModuleFault
 
 
 class Ticket:
@@ -112,9 +112,9 @@
     def __init__(self, number: int, wake: Callable[[], None]) -> None:
         self.id, self.wake = number, wake
         self.epoch: int | None = None  # of the policy that its first order was decided under
-        self.orders: deque[Order] = deque()
+        self.orders: deque[RequestAction] = deque()
 
-    def give(self, order: Order) -> None:
+    def deliver(self, order: RequestAction) -> None:
         """Add an action and wake the task."""
         self.orders.append(order)
         self.wake()
@@ -148,7 +148,7 @@
         """Hear that a request is let in now."""
 
 
-class Desk:
+class RequestHandler:
     """Where requests meet the module and the servers."""
 
     def __init__(
@@ -156,20 +156,20 @@
     ) -> None:
         self.loop, self.tell, self.servers, self.counts = loop, tell, servers, counts
         self.retry_after_ms = retry_after_ms
-        self.agreed: Agreed | None = None  # none: the policy is this gateway's own
-        self.sides: Sides | None = None  # none: any box for any request
-        self.witness: Callable[[str, Ending], None] | None = None  # hears how attempts at boxes ended
+        self.policy_gate: Agreed | None = None  # none: the policy is this gateway's own
+        self.pool_router: Sides | None = None  # none: any box for any request
+        self.on_attempt_end: Callable[[str, Ending], None] | None = None  # hears how attempts at boxes ended
         self.tickets: dict[int, Ticket] = {}
         self.last = 0
         self.end_by = math.inf  # Unix ms at which this process must have answered all: soon after, it is killed
 
-    def give(self, order: Order) -> None:
+    def deliver(self, order: RequestAction) -> None:
         """Hand an action to its request, unless that has ended."""
         ticket = self.tickets.get(order.request)
         if ticket is not None:
-            if self.agreed is not None and ticket.epoch is None:
-                ticket.epoch = self.agreed.epoch
-            ticket.give(order)
+            if self.policy_gate is not None and ticket.epoch is None:
+                ticket.epoch = self.policy_gate.epoch
+            ticket.deliver(order)
 
     def end_all_by(self, when: float) -> None:
         """Answer whatever is in hand at some time: a request with longer to live would die with the process."""
@@ -201,13 +201,13 @@
         until = now_ms() + request.left_ms
         overdue = self.loop.at(until + OVERDUE_MS, ticket.wake)
         attempts, may_have_run = 0, False
-        if self.agreed is not None and not self.agreed.holds():
-            yield from self.await_policy(self.agreed, ticket, request, caller)
-            if caller.gone or not self.agreed.holds():
+        if self.policy_gate is not None and not self.policy_gate.holds():
+            yield from self.await_policy(self.policy_gate, ticket, request, caller)
+            if caller.gone or not self.policy_gate.holds():
                 overdue.cancel()
                 return None if caller.gone else self.unsure()
             request = dataclasses.replace(request, left_ms=max(1.0, until - now_ms()))
-        pools = self.sides.pools(request) if self.sides is not None else ()
+        pools = self.pool_router.pools(request) if self.pool_router is not None else ()
         self.tell(
             api.Arrival(
                 ticket.id,
@@ -229,21 +229,21 @@
                 if caller.gone or now_ms() >= self.end_by:
                     self.take_back(ticket, attempts)
                     return None if caller.gone else self.cut_off(may_have_run)
-                order = ticket.orders.popleft() if ticket.orders else Fault(ticket.id)
-                if self.agreed is not None and not attempts and not isinstance(order, Fault):
-                    if not self.agreed.holds(ticket.epoch):  # decided, and not let in: the policy went in between
+                order = ticket.orders.popleft() if ticket.orders else ModuleFault(ticket.id)
+                if self.policy_gate is not None and not attempts and not isinstance(order, ModuleFault):
+                    if not self.policy_gate.holds(ticket.epoch):  # decided, and not let in: the policy went in between
                         if isinstance(order, api.Send):
                             self.tell(api.Outcome(ticket.id, 0, order.server, Ending.MOOT, 0.0, True))
                         return self.unsure()
                     if isinstance(order, api.Send):
-                        self.agreed.admitted(request)
+                        self.policy_gate.admitted(request)
                 if isinstance(order, api.Refuse):
                     cause = order.cause or ("attempts" if attempts else "servers")
                     self.counts.add("refused", f"{cause}_{request.plan}")
                     return Refused(order.retry_after_ms)
                 if isinstance(order, api.Fail):
                     return Failed("no attempt was served")
-                if isinstance(order, Fault):
+                if isinstance(order, ModuleFault):
                     # The module broke down or forgot the request: the client is answered all the same.
                     self.tell(api.ClientGone(ticket.id))
                     self.counts.add("answered", "without_the_module")
@@ -261,8 +261,8 @@
                     order.write_by,
                 )
                 self.counts.add("sent", result.ending.value)
-                if self.witness is not None:
-                    self.witness(order.server, result.ending)
+                if self.on_attempt_end is not None:
+                    self.on_attempt_end(order.server, result.ending)
                 may_have_run |= result.reach > Reach.UNWRITTEN and result.ending is not Ending.FULL
                 gone, over = caller.gone, now_ms() >= self.end_by  # looked at once for all that follows
                 if gone:  # before the attempt's end is told: no further one may follow from it
@@ -282,8 +282,8 @@
                         dict(result.report),
                     )
                 )
-                if self.sides is not None and not attempts:  # later ones are of requests that went badly
-                    self.sides.ended(request, pools, order.server, result, now_ms() - started)
+                if self.pool_router is not None and not attempts:  # later ones are of requests that went badly
+                    self.pool_router.ended(request, pools, order.server, result, now_ms() - started)
                 attempts += 1
                 if gone:
                     return None
--- a/petrelhall/gateway/shifting.py
+++ b/petrelhall/gateway/shifting.py
@@ -109,7 +109,7 @@
             mover.move,
             mover.wanted,
             request.customer,
-            request.name.decode("latin-1"),
+            request.request_id.decode("latin-1"),
             self.classes[request.request_class],
             self.plans[request.plan],
         ).pools
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -37,7 +37,7 @@
 from petrelhall.decide.settings import read_settings
 from petrelhall.emulate.accord import FILE, PACE, TURNS, Turn, World, explore, settled
 from petrelhall.gateway.agreement import Agreement
-from petrelhall.gateway.requests import Desk, Refused, Request, Unsure
+from petrelhall.gateway.requests import Refused, Request, RequestHandler, Unsure
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop
 from petrelhall.operator.file import OperatorError
@@ -838,23 +838,23 @@
     def live(self, held: Held, order: Any, meanwhile: Any = None) -> tuple[Any, list[api.Event]]:
         """Live a request's life, with a module that says one thing."""
         loop, told, ended = Loop(print), list[api.Event](), list[Any]()
-        desk = Desk(loop, lambda event: None, None, Counts(), 700.0)  # type: ignore[arg-type]
-        desk.agreed = held
+        request_handler = RequestHandler(loop, lambda event: None, None, Counts(), 700.0)  # type: ignore[arg-type]
+        request_handler.policy_gate = held
 
         def tell(event: api.Event) -> None:
             told.append(event)
             if isinstance(event, api.Arrival):
-                desk.give(order)
+                request_handler.deliver(order)
                 if meanwhile is not None:
                     meanwhile()
 
-        desk.tell = tell
+        request_handler.tell = tell
 
         class Stays:
             gone = False
 
         def task() -> Any:
-            ended.append((yield from desk.serve(Request(0, 0, "c", 400.0, 1.0, 1, False, None), Stays())))
+            ended.append((yield from request_handler.serve(Request(0, 0, "c", 400.0, 1.0, 1, False, None), Stays())))
             loop.stop()
 
         loop.spawn(task())
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -11,7 +11,7 @@
 
 from petrelhall.decide import interface as api
 from petrelhall.decide.interface import Ending
-from petrelhall.gateway.requests import Desk, Request
+from petrelhall.gateway.requests import Request, RequestHandler
 from petrelhall.http.room import KEEP_EACH, LEAST_EACH, MOST_EACH, Room
 from petrelhall.links.attempt import Reach, Result
 from petrelhall.net.counts import Counts
@@ -154,10 +154,10 @@
         def tell(event: api.Event) -> None:
             told.append(event)
             if isinstance(event, api.Arrival):
-                loop.after(0.0, lambda: desk.give(api.Send(event.request, "s0")))
+                loop.after(0.0, lambda: request_handler.deliver(api.Send(event.request, "s0")))
 
-        desk = Desk(loop, tell, Servers(), Counts(), 0.0)
-        loop.spawn(desk.serve(Request(0, 0, "a", 5000.0, 1.0, 1, False, None), Caller()))
+        request_handler = RequestHandler(loop, tell, Servers(), Counts(), 0.0)
+        loop.spawn(request_handler.serve(Request(0, 0, "a", 5000.0, 1.0, 1, False, None), Caller()))
         until = time.monotonic() + PATIENCE_S
         while len(told) < 2 and time.monotonic() < until:
             loop.turn()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -23,8 +23,8 @@
 from petrelhall.gateway.counter import CounterClient
 from petrelhall.gateway.dispatch import Dispatcher
 from petrelhall.gateway.peers import Peers
-from petrelhall.gateway.platform import Platform, Spoken
-from petrelhall.gateway.requests import Desk, Refused, Request
+from petrelhall.gateway.platform import ForwardedRequest, Platform
+from petrelhall.gateway.requests import Refused, Request, RequestHandler
 from petrelhall.http.h1 import Message
 from petrelhall.links.attempt import Reach
 from petrelhall.links.plan import Plan
@@ -36,7 +36,7 @@
 from petrelhall.operator.settings import Links
 from tests.peers import PATIENCE_S, PROFILE, Story, address, ask, entry, listen, read_message, reply
 
-ASKED = Spoken(Message(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
+ASKED = ForwardedRequest(Message(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
 
 
 class Serving(Story):
@@ -631,12 +631,14 @@
             gone = False
 
         dispatcher = Dispatcher(self.loop, Broken(), self.counts, self.notes.append)
-        desk = Desk(self.loop, dispatcher.tell, None, self.counts, 700.0)  # type: ignore[arg-type]
-        dispatcher.to_request = desk.give
+        request_handler = RequestHandler(self.loop, dispatcher.tell, None, self.counts, 700.0)  # type: ignore[arg-type]
+        dispatcher.to_request = request_handler.deliver
         answers: list[Any] = []
 
         def serve() -> Any:
-            answers.append((yield from desk.serve(Request(0, 0, "a", 5000.0, 1.0, 1, False, None), Caller())))
+            answers.append(
+                (yield from request_handler.serve(Request(0, 0, "a", 5000.0, 1.0, 1, False, None), Caller()))
+            )
 
         self.loop.spawn(serve())
         self.turn_until(lambda: answers)
@@ -669,21 +671,21 @@
             b"x-deadline": b"900m",
             b"x-metering": b"units=1,spread=3,first=7",
         }
-        request = Platform(settings, ("view", "change"), ("plan",)).request(
+        request = Platform(settings, ("view", "change"), ("plan",)).parse_request(
             Message(b"GET", b"/api?client=00000000b4d65521", headers, b"")
         )
         assert isinstance(request, Request)
         told: list[Any] = []
-        desk = Desk(self.loop, told.append, None, self.counts, 700.0)  # type: ignore[arg-type]
-        self.loop.spawn(desk.serve(request, SimpleNamespace(gone=True)))
+        request_handler = RequestHandler(self.loop, told.append, None, self.counts, 700.0)  # type: ignore[arg-type]
+        self.loop.spawn(request_handler.serve(request, SimpleNamespace(gone=True)))
         self.turn_until(lambda: len(told) > 1)
         self.assertEqual((told[0].set_size, told[0].set_first), (3, 7))
 
     def test_a_load_report_with_a_figure_that_is_none_is_no_report(self) -> None:
         platform = Platform(read_settings(PROFILE), ("view", "change"), ("plan",))
-        self.assertEqual(platform.report(b"LOAD inflight=3.5, qps=7"), {"rif": 3.5})
+        self.assertEqual(platform.parse_load_report(b"LOAD inflight=3.5, qps=7"), {"rif": 3.5})
         for figure in (b"nan", b"inf", b"-1", b"1_0", b"1e999", b"much", b""):
-            self.assertEqual(platform.report(b"LOAD inflight=" + figure), {}, figure)
+            self.assertEqual(platform.parse_load_report(b"LOAD inflight=" + figure), {}, figure)
 
     def test_a_state_not_known_here_and_gone_get_nothing_new(self) -> None:
         fleet = Fleet(("a", "b"))
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -23,10 +23,10 @@
 from petrelhall.decide.settings import read_settings
 from petrelhall.gateway import front
 from petrelhall.gateway.dispatch import Dispatcher
-from petrelhall.gateway.front import Front
+from petrelhall.gateway.front import Listener
 from petrelhall.gateway.mgmt import CALLERS, Management
-from petrelhall.gateway.platform import Platform, Spoken
-from petrelhall.gateway.requests import Desk
+from petrelhall.gateway.platform import ForwardedRequest, Platform
+from petrelhall.gateway.requests import RequestHandler
 from petrelhall.http.h1 import Message
 from petrelhall.http.room import Room
 from petrelhall.links import reuse
@@ -40,7 +40,7 @@
 from petrelhall.operator.settings import Links
 from tests.peers import PATIENCE_S, PROFILE, Story, address, ask, entry, listen, read_message, reply
 
-ASKED = Spoken(Message(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
+ASKED = ForwardedRequest(Message(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
 HEALTH = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
@@ -67,19 +67,19 @@
         self.pool = Pool(self.loop, self.fleet, self.platform, self.counts, self.plan, 5000.0)
         self.results: list[Any] = []
 
-    def gateway(self, most: int = 20) -> Front:
+    def gateway(self, most: int = 20) -> Listener:
         """Put the whole together."""
         module = Gateway(self.settings, 1)
         dispatcher = Dispatcher(self.loop, module, self.counts, self.notes.append)
-        self.desk = Desk(self.loop, dispatcher.tell, self.pool, self.counts, 700.0)
-        dispatcher.to_request = self.desk.give
+        self.request_handler = RequestHandler(self.loop, dispatcher.tell, self.pool, self.counts, 700.0)
+        dispatcher.to_request = self.request_handler.deliver
         dispatcher.tell(Started())
         dispatcher.tell(self.fleet.relabel())
-        made = Front(
+        made = Listener(
             self.loop,
             ("127.0.0.1", 0),
             self.platform,
-            self.desk,
+            self.request_handler,
             lambda: True,
             self.counts,
             self.notes.append,
@@ -310,7 +310,7 @@
 
         def end_crossed_by_a_client() -> None:  # after the turn's sockets: the listener holds one that nobody has seen
             self.client(ask()).close()
-            made.part_all()  # accepts it and looks at it in this turn
+            made.close_idle_connections()  # accepts it and looks at it in this turn
 
         self.loop.after(0.0, end_crossed_by_a_client)
         self.turn_until(lambda: self.counts.get("connections", "from_clients") and not made.clients)
@@ -371,8 +371,8 @@
     def test_the_module_forgets_an_attempt_decided_on_as_its_client_left(self) -> None:
         made = self.gateway()
         client = self.client(ask())
-        module = made.desk.tell.__self__.module
-        give = made.desk.give
+        module = made.request_handler.tell.__self__.module
+        give = made.request_handler.deliver
 
         def crossing(order: Any) -> None:
             client.close()
@@ -380,7 +380,7 @@
                 held.stream.end(0)  # the close is seen between the decision and the attempt
             give(order)
 
-        made.desk.tell.__self__.to_request = crossing
+        made.request_handler.tell.__self__.to_request = crossing
         self.turn_until(lambda: self.counts.get("answered", "client_left"))
         self.assertEqual((module.jobs, module.out, module.links["s0"].out), ({}, 0.0, 0.0))
         self.assertAlmostEqual(module.customers["00000000b4d65521"].shared, 1000.0, places=0)
@@ -402,24 +402,24 @@
         return data
 
     def test_what_crosses_the_end_of_an_idle_connection_resets_nothing(self) -> None:
-        self.patch(front, IDLE_MS=50.0, SWEEP_MS=10.0)
+        self.patch(front, IDLE_TIMEOUT_MS=50.0, SWEEP_INTERVAL_MS=10.0)
         self.gateway()
         client = self.client(HEALTH)
         self.assertTrue(self.unharmed(client, b"ready\n").startswith(b"HTTP/1.1 200"))
 
     def test_what_crosses_a_408_does_not_reset_it_away(self) -> None:
-        self.patch(front, FIRST_MS=50.0, SWEEP_MS=10.0)
+        self.patch(front, FIRST_REQUEST_TIMEOUT_MS=50.0, SWEEP_INTERVAL_MS=10.0)
         self.gateway()
         self.assertTrue(self.unharmed(self.client(ask()[:40])).startswith(b"HTTP/1.1 408"))
 
     def test_an_answer_to_what_broke_us_is_not_reset_away(self) -> None:
         self.gateway()
-        self.patch(self.platform, request=unittest.mock.Mock(side_effect=ZeroDivisionError))
+        self.patch(self.platform, parse_request=unittest.mock.Mock(side_effect=ZeroDivisionError))
         client = self.client(ask() + b"x" * 20000)
         self.assertTrue(self.unharmed(client).startswith(b"HTTP/1.1 500"))
 
     def test_one_that_comes_to_a_full_house_ends_few_of_those_that_rest_and_nothing_spins(self) -> None:
-        self.patch(front, CROWDED_MS=300.0)
+        self.patch(front, CROWDED_LINGER_TIMEOUT_MS=300.0)
         self.gateway(most=31)
         for _ in range(30):
             self.read(self.client(HEALTH), b"ready\n")  # they rest, and do not close when they are told of the end
@@ -428,10 +428,12 @@
         for _ in range(2):
             self.read(self.client(HEALTH), b"ready\n")  # once one of those has ended
         self.assertLess(len(turns), 100.0 + (now_ms() - begin))
-        self.assertLessEqual(self.counts.get("connections", "made_room"), front.ROOM + 2)  # the late two among them
+        self.assertLessEqual(
+            self.counts.get("connections", "made_room"), front.EVICTION_BATCH + 2
+        )  # the late two among them
 
     def test_where_many_wait_for_a_place_more_are_made_at_once_and_never_over_a_quarter(self) -> None:
-        self.patch(front, CROWDED_MS=200.0)
+        self.patch(front, CROWDED_LINGER_TIMEOUT_MS=200.0)
         made = self.gateway(most=80)
         for _ in range(79):
             self.read(self.client(HEALTH), b"ready\n")  # they rest, and do not close when they are told of the end
@@ -440,17 +442,17 @@
 
         def all_answered() -> bool:
             nonlocal most_ending
-            most_ending = max(most_ending, made.ending)
+            most_ending = max(most_ending, made.lingering)
             return self.counts.get("connections", "from_clients") == 139
 
         self.turn_until(all_answered)
         for client in late:
             self.read(client, b"ready\n")
-        self.assertGreater(most_ending, front.ROOM)
+        self.assertGreater(most_ending, front.EVICTION_BATCH)
         self.assertLessEqual(most_ending, 20)
 
     def test_an_answer_that_trickles_without_end_is_cut_off_in_time(self) -> None:
-        self.patch(front, FLOW_MS=200.0, FLOW_MS_PER_BYTE=0.0)
+        self.patch(front, STREAM_TIMEOUT_MS=200.0, STREAM_MS_PER_BYTE=0.0)
         self.gateway()
         client = self.client(ask())
         server = self.accept()
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -13,7 +13,7 @@
 from petrelhall.boxes.fleet import Fleet
 from petrelhall.decide.interface import Ending
 from petrelhall.decide.settings import read_settings
-from petrelhall.gateway.platform import Platform, Spoken
+from petrelhall.gateway.platform import ForwardedRequest, Platform
 from petrelhall.http.h1 import Message
 from petrelhall.links.attempt import Reach
 from petrelhall.links.plan import Plan
@@ -24,7 +24,7 @@
 from petrelhall.operator.settings import Links
 from tests.peers import PATIENCE_S, PROFILE, Story, address, ask, entry, listen, read_message, reply
 
-ASKED = Spoken(Message(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
+ASKED = ForwardedRequest(Message(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
 
 
 class Sockets(unittest.TestCase):
