--- a/petrelhall/gateway/dispatch.py
+++ b/petrelhall/gateway/dispatch.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from petrelhall.decide import interface as api
-from petrelhall.gateway.requests import Fault, Order
+from petrelhall.gateway.requests import ModuleFault, RequestAction
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, describe, now_ms
 
@@ -33,7 +33,7 @@
         self.loop, self.module, self.counts, self.log = loop, module, counts, log
         self.queued_events: deque[api.Event] = deque()
         self.dispatching = False
-        self.handle_request_action: Callable[[Order], None] = lambda order: None
+        self.handle_request_action: Callable[[RequestAction], None] = lambda order: None
         self.send_to_peers: Callable[[bytes, tuple[int, ...]], None] = lambda content, to: None
         self.add_to_counter: Callable[[int, float, float], None] | None = None
 
@@ -63,7 +63,7 @@
             self.log(f"decision module failed on {type(event).__name__}: {describe(error)}")
             request = getattr(event, "request", None)
             if request is not None and not isinstance(event, api.ClientGone):
-                self.loop.after(0.0, lambda: self.handle_request_action(Fault(request)))
+                self.loop.after(0.0, lambda: self.handle_request_action(ModuleFault(request)))
             return list(self.module.actions)
 
     def execute(self, action: api.Action) -> None:
--- a/petrelhall/gateway/program.py
+++ b/petrelhall/gateway/program.py
@@ -22,12 +22,12 @@
 from petrelhall.gateway.config import Config, ConfigError, load
 from petrelhall.gateway.counter import CounterClient
 from petrelhall.gateway.dispatch import Dispatcher
-from petrelhall.gateway.front import CLOSE_MS, Front
+from petrelhall.gateway.front import LISTENER_CLOSE_DELAY_MS, Listener
 from petrelhall.gateway.handover import DEFAULT_POLL_MS, MANAGED_POLL_MS, Handover
 from petrelhall.gateway.mgmt import MAX_MANAGEMENT_CONNECTIONS, Management
 from petrelhall.gateway.peers import SHIFT_KIND, Peers
 from petrelhall.gateway.platform import Platform
-from petrelhall.gateway.requests import Desk
+from petrelhall.gateway.requests import RequestHandler
 from petrelhall.http.room import Room
 from petrelhall.links.plan import Plan
 from petrelhall.links.pool import Pool
@@ -83,9 +83,11 @@
         self.pool = Pool(
             self.loop, self.fleet, platform, self.counts, connection_plan, config.connect_timeout_ms, body_budget
         )
-        desk = Desk(self.loop, self.dispatcher.dispatch, self.pool, self.counts, settings.max_retry_after_ms)
-        self.dispatcher.handle_request_action = desk.give
-        self.desk = desk
+        request_handler = RequestHandler(
+            self.loop, self.dispatcher.dispatch, self.pool, self.counts, settings.max_retry_after_ms
+        )
+        self.dispatcher.handle_request_action = request_handler.deliver
+        self.request_handler = request_handler
         self.shifter: TrafficShifter | None = None
         self.peers: Peers | None = None
         self.membership: Membership | None = None
@@ -99,18 +101,18 @@
         self.apply_policy(operator_settings.shared, None)
         self.start_discovery()
         self.restore_snapshot()
-        self.front = Front(
+        self.listener = Listener(
             self.loop,
             config.listen,
             platform,
-            desk,
+            request_handler,
             self.is_healthy,
             self.counts,
             log,
             client_descriptors,
             body_budget,
         )
-        self.front.on_empty = self.loop.stop
+        self.listener.on_empty = self.loop.stop
         self.serving = True
         self.mgmt: Management | None = None
         if config.mgmt is not None:
@@ -147,7 +149,7 @@
 
     def is_ready(self) -> bool:
         """Return whether this process takes clients: it listens, is not shutting down and has servers listed."""
-        return not self.stopping and self.serving and not self.front.closing and bool(self.fleet.addresses)
+        return not self.stopping and self.serving and not self.listener.closing and bool(self.fleet.addresses)
 
     def is_healthy(self) -> bool:
         """Return the result of the clients' health check: false until the policy in force has been learnt once.
@@ -220,7 +222,7 @@
                     self.counts,
                     self.log.write,
                 )
-                self.desk.witness = self.membership.record_attempt
+                self.request_handler.on_attempt_end = self.membership.record_attempt
             if self.operator_settings.accord.on and self.has_peer_network():
                 from petrelhall.gateway.agreement import Agreement
 
@@ -237,7 +239,7 @@
                     self.counts,
                     self.log.write,
                 )
-                self.desk.agreed = self.agreement
+                self.request_handler.policy_gate = self.agreement
         if self.operator_settings.distribution.on:
             self.start_configuration_learner()
         if self.operator_settings.quota.on:
@@ -274,7 +276,7 @@
             self.counts,
             self.log.write,
         )
-        self.desk.agreed = self.agreement
+        self.request_handler.policy_gate = self.agreement
 
     def policy_problem(self, shared: Shared) -> str:
         """Return why this gateway cannot serve a shared policy; empty if it can."""
@@ -320,7 +322,7 @@
                     self.shifter.on_peer_message,
                 )
         self.shifter.configure(settings)
-        self.desk.sides = self.shifter if settings is not None else None
+        self.request_handler.pool_router = self.shifter if settings is not None else None
 
     def open_counter(self, address: Address) -> CounterClient:
         """Direct counter calls to an address."""
@@ -456,7 +458,7 @@
             self.agreement.hand_over()
         if self.peers is not None:
             self.peers.stop_receiving()
-        self.front.hand_over()
+        self.listener.hand_over()
 
     def begin_shutdown(self) -> None:
         """Keep serving while clients may still connect, answer what was accepted, then stop; idempotent."""
@@ -466,9 +468,9 @@
             if self.membership is not None:
                 self.membership.leave()
             longest_deadline_ms = max(request_class.deadline_ms for request_class in self.config.settings.classes)
-            self.front.stop(longest_deadline_ms)
+            self.listener.stop(longest_deadline_ms)
             # By then every accepted request is past its deadline: no client is waiting.
-            self.loop.after(CLOSE_MS + longest_deadline_ms + SHUTDOWN_MARGIN_MS, self.loop.stop)
+            self.loop.after(LISTENER_CLOSE_DELAY_MS + longest_deadline_ms + SHUTDOWN_MARGIN_MS, self.loop.stop)
 
 
 def main(arguments: list[str] | None = None) -> int:
