--- a/benchmarks/scale/subjects/decide_tenants.py
+++ b/benchmarks/scale/subjects/decide_tenants.py
@@ -13,7 +13,7 @@
 from petrelhall.capacity.records import Slope
 from petrelhall.decide import interface as api
 from petrelhall.decide import snapshot
-from petrelhall.decide.policy import KEEP_MS, Gateway
+from petrelhall.decide.policy import IDLE_CUSTOMER_TTL_MS, Gateway
 
 SUBJECT = "decide-tenants"
 ORDINARY_SERVERS = 1900
@@ -64,7 +64,7 @@
             request.add(tenants, 1e6 * played.cpu_s / played.requests)
         for _ in range(effort.repeats):
             sweep.add(tenants, cpu_ms(playing.module.handle, playing.now, api.Alarm(INTERVAL_TOKEN)))
-        playing.now += 2.0 * KEEP_MS
+        playing.now += 2.0 * IDLE_CUSTOMER_TTL_MS
         forget.add(tenants, cpu_ms(playing.module.handle, playing.now, api.Alarm(INTERVAL_TOKEN)))
     for samples in (request, memory, sweep, forget):
         yield samples.slope()
@@ -125,7 +125,7 @@
     """Write a module's snapshot, and have a new one take it."""
     settings = module.settings
     latency = [module.latency[kind] for kind in settings.classes]
-    content = ujson.dumps(snapshot.take(module, settings, latency, module.faults, settings.plans)).encode()
+    content = ujson.dumps(snapshot.take(module, settings, latency, module.failure_rates, settings.plans)).encode()
     successor = Gateway(settings, 1)
     servers = tuple(api.Server(address) for address in module.links)
     successor.handle(module.now, api.ServerList("full", servers))
--- a/benchmarks/scale/subjects/gossip.py
+++ b/benchmarks/scale/subjects/gossip.py
@@ -11,7 +11,7 @@
 from petrelhall.capacity.records import Slope
 from petrelhall.decide import gossip
 from petrelhall.decide import interface as api
-from petrelhall.decide.policy import MAIL_SHARE, Gateway
+from petrelhall.decide.policy import GOSSIP_BUDGET_SHARE, Gateway
 
 SERVERS, TENANTS = 200, 1200
 ENTRIES = 20  # of a message that is heard
@@ -55,7 +55,7 @@
         for seed in range(1, 1 + min(MOST_REPEATS, effort.repeats)):
             settings = gateway_settings(gateways, peers=True, counter=False)
             player = warmed_up(settings, seed, effort)
-            seconds = max(effort.seconds, TELLS * player.module.tell_gap / 1000.0)
+            seconds = max(effort.seconds, TELLS * player.module.gossip_interval_ms / 1000.0)
             played = player.run(seconds)
             messages.add(gateways, played.peer_messages / seconds)
             sent_bytes.add(gateways, played.peer_bytes / seconds)
@@ -80,7 +80,7 @@
     player = Player(Gateway(settings, seed), SERVERS, TENANTS, seed)
     player.remember_tenants()
     codes = [customer.code for customer in player.module.customers.values()]
-    spent, count = 0.0, int(MAIL_SHARE * PEER_MESSAGES_PER_S)
+    spent, count = 0.0, int(GOSSIP_BUDGET_SHARE * PEER_MESSAGES_PER_S)
     for _ in range(count):
         sender = draw.randrange(1, settings.gateways)
         content = gossip.encode([(draw.choice(codes), 1.0) for _ in range(ENTRIES)])
--- a/petrelhall/decide/ledger.py
+++ b/petrelhall/decide/ledger.py
@@ -4,7 +4,7 @@
 
 from petrelhall.decide.state import Customer
 
-COUNT_MS = 20000.0  # ms that a name counts for
+COUNTER_NAME_TTL_MS = 20000.0  # ms that a name counts for
 SHARE_GAIN, PUT_RIGHT = 0.2, 0.25  # weight of a verdict; share of a burst that is worth a call
 
 
@@ -18,9 +18,9 @@
     the last lacked: an emptied counter brings one burst and no more.
     """
     plan, filled = customer.plan, customer.level_now(asked)
-    level = plan.burst + plan.rate * (asked % COUNT_MS) / 1000.0 - total
+    level = plan.burst + plan.rate * (asked % COUNTER_NAME_TTL_MS) / 1000.0 - total
     put_right = max(0.0, level + amount - plan.burst)
-    if total <= amount and customer.level_at < asked - asked % COUNT_MS:
+    if total <= amount and customer.level_at < asked - asked % COUNTER_NAME_TTL_MS:
         put_right += max(0.0, plan.burst - filled)
     elif put_right < PUT_RIGHT * plan.burst:
         put_right = 0.0
--- a/petrelhall/decide/policy.py
+++ b/petrelhall/decide/policy.py
@@ -13,52 +13,72 @@
 from petrelhall.decide.correlation import significant
 from petrelhall.decide.dawn import Dawn, fill
 from petrelhall.decide.interface import Effect, Ending
-from petrelhall.decide.ledger import COUNT_MS, verdict
+from petrelhall.decide.ledger import COUNTER_NAME_TTL_MS, verdict
 from petrelhall.decide.retries import price
-from petrelhall.decide.slowstart import cold_room, first_turn
+from petrelhall.decide.slowstart import cold_start_share, initial_cold_allowance
 from petrelhall.decide.state import Customer, Job, Link, Memory, faded, left_of, taken
 from petrelhall.decide.waiting import STEP_MS, Held
 
 # Correlation and cut
 INTERVAL_MS, STALL_MS = 1000.0, 200.0  # ms; the paper's interval; its end so late, we have stood still
-WINDOW, MIN_INTERVALS, MIN_ENDS = 30, 8, 5.0  # intervals of a column, fewest to test; ends for a share
-NORMAL_POINT = 1.96  # alpha 0.05, two-sided; Student's point at the degrees of freedom follows from it
-COLUMNS, FLAG_RUNS = 32, 2  # busiest customers that are tested; flags in a row: one in 20 is chance
+CORRELATION_WINDOW, MIN_INTERVALS, MIN_ENDS = (
+    30,
+    8,
+    5.0,
+)  # intervals of a column, fewest to test; ends for a share
+NORMAL_QUANTILE = 1.96  # alpha 0.05, two-sided; Student's point at the degrees of freedom follows from it
+MAX_TRACKED_CUSTOMERS, FLAG_RUNS = (
+    32,
+    2,
+)  # busiest customers that are tested; flags in a row: one in 20 is chance
 CUT_RATIO, SPARED_USE = 1.0 / 3.5, 0.9  # the paper's; share of quota below which no one is cut
 PRESSED, RELIEVED = (1.0, 0.10), (0.7, 0.05)  # latency over aim, share full or timed out: start, lift
 # Quota
-RATE_MS, NEWS_MS = 3000.0, 3000.0  # ms; decay of rates, to follow shifts of traffic; life of news
+RATE_DECAY_MS, USAGE_REPORT_TTL_MS = (
+    3000.0,
+    3000.0,
+)  # ms; decay of rates, to follow shifts of traffic; life of news
 METER_LAG_MS, PEER_LAG_MS = 1500.0, 150.0  # ms that news of the others' use is old: period and way
-TICK_MS, MAIL_SHARE, TOLD_STEP = 50.0, 0.6, 1.3  # ms between messages; share of what a peer takes in; news
+TICK_MS, GOSSIP_BUDGET_SHARE, TOLD_STEP = (
+    50.0,
+    0.6,
+    1.3,
+)  # ms between messages; share of what a peer takes in; news
 MANY_MS, MANY_SHARE, SET_SHARE = 100.0, 0.15, 0.75  # ms: a word to all is late; its share then; the sets'
-KEEP_MS, MOST_SHARES = 15000.0, 10000  # idle customers; shares: bound memory
-ASK_MIN, ASK_CUT, ASK_STEP, ASK_HASTE = 0.1, 0.7, 0.04, 0.2  # share of tries that call; growth/s; where clear
+IDLE_CUSTOMER_TTL_MS, MOST_SHARES = 15000.0, 10000  # idle customers; shares: bound memory
+ASK_MIN, COUNTER_SAMPLING_CUT, ASK_STEP, ASK_HASTE = 0.1, 0.7, 0.04, 0.2  # share of tries that call; growth/s
 KNOWN = 0.9  # share of demand borne
 PASS_MIN, PASS_GAIN, PASS_MS = 0.05, 0.5, 4000.0  # share let in by the meter: least, step at most, its pace
 BACK_MS = 50.0  # least wait that a refusal advises
 OPEN_LAG_MS, OPEN_RISK, MANY_RISK = 30.0, 0.2, 0.1  # ms that news of an attempt is old; chance of a full cap
-OPEN_MS, OPEN_SHARE = 300.0, 0.9  # for which a told attempt counts; share of what a peer takes in, at most
+ATTEMPT_REPORT_TTL_MS, OPEN_SHARE = (
+    300.0,
+    0.9,
+)  # for which a told attempt counts; share of what a peer takes in
 # Servers
-LATENCY_GAIN, FLEET_GAIN, FAULT_GAIN = 0.15, 0.03, 0.05  # weight of an answer: server, fleet, class
+LATENCY_GAIN, FLEET_EWMA_WEIGHT, FAULT_GAIN = 0.15, 0.03, 0.05  # weight of an answer: server, fleet, class
 FORGIVE_MS, REPORT_MS, TRUST_MS = 8000.0, 500.0, 20000.0  # ms in which slowness, a report, trust lose half
 JITTER, CROSSING, OPENING = 0.15, 5.0, 10.0  # chance in a server's cost, against herding; priced, in prices
-EJECT_MS, EJECT_MAX_MS = 500.0, 4000.0  # ms, first and longest
+EJECTION_MIN_MS, EJECT_MAX_MS = 500.0, 4000.0  # ms, first and longest
 RESETS = 3  # in a row that look like a death: one is a connection's end, and the next connect tells more
 LIMIT_START, LIMIT_MIN, LIMIT_MAX = 12.0, 1.0, 64.0  # attempts out at a server: of all, from here
 CALM_WAIT, FULL_WAIT, QUIET_WAIT = 0.20, 0.30, 0.45  # latency over aim: limit grows, falls; silence counts
 SAMPLE, TRUST_MIN, TRUSTED = 16, 0.1, 0.5  # servers compared; least chance of one that failed; a good one's
 WAITS, SHED_WAIT = 9, 0.4  # answers whose median, over the aim, sheds demand from here on
-PACE_MIN, PACE_SLACK = 0.5, 2.0  # tries/s let in at least; at most, over the usual
+ADMISSION_RATE_MIN, PACE_SLACK = 0.5, 2.0  # tries/s let in at least; at most, over the usual
 PACE_CUT, PACE_STEP, PACE_HASTE = 0.3, 0.02, 0.5  # cut an interval; growth, more where all is quick
 PACE_OUT, PASSED_GAIN = 0.2, 0.3  # latency over aim that what is out stands for; an interval's weight
 FULL_CUT_ENDS, DOUBT = 4.0, 1.5  # answers for a whole cut; store that the unknown need
 LIMIT_CUT, LIMIT_CUT_MS = 0.85, 200.0  # multiplicative decrease, at most once in so many ms
 # Attempts
 FIRST_GUESS, LEAST_MS = 0.2, 20.0  # latency over aim before any was seen; ms that an answer takes
-RETRY_SHARE, RETRY_CAP = 0.15, 15.0  # retry budget: earned by a first attempt; most that is saved
+RETRY_BUDGET_PER_REQUEST, RETRY_CAP = (
+    0.15,
+    15.0,
+)  # retry budget: earned by a first attempt; most that is saved
 OVERDUE, OVERDUE_MIN, OVERDUE_MAX = 3.0, 0.2, 0.5  # mean latencies, within shares of the aim
 AIM_MARGIN, WINDOW_MARGIN = 0.98, 0.9  # share of the aim, of a keyed window, that is used
-FIRST_TOKEN = 5  # timers: 0 interval, 1 and 3 peers, 2 list, 4 who waits, then one for each request
+FIRST_REQUEST_TOKEN = 5  # timers: 0 interval, 1 and 3 peers, 2 list, 4 who waits, then one for each request
 
 
 class Gateway(Memory):
@@ -66,20 +86,20 @@
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         super().__init__(retries=RETRY_CAP / 2)
-        self.settings, self.random, self.held = settings, random.Random(seed), Held()
+        self.settings, self.random, self.waiting_requests = settings, random.Random(seed), Held()
         self.first_limit = max(LIMIT_MIN, LIMIT_START / settings.gateways)
         mail = max(1.0, settings.peer_messages_per_s)
-        gap = 1000.0 * settings.gateways / (MAIL_SHARE * mail)
-        self.peers = settings.peers and (gap < NEWS_MS / 3 or not settings.counter)
+        gap = 1000.0 * settings.gateways / (GOSSIP_BUDGET_SHARE * mail)
+        self.peers = settings.peers and (gap < USAGE_REPORT_TTL_MS / 3 or not settings.counter)
         self.open_gap = 1000.0 * max(1, settings.gateways - 1) / (OPEN_SHARE * mail)
         self.many = self.peers and self.open_gap > MANY_MS  # what cannot wait for a word to all goes to sets
-        self.tell_gap = max(TICK_MS, gap * MAIL_SHARE / MANY_SHARE if self.many else gap)
-        self.open_life = max(OPEN_MS, 2.0 * self.tell_gap * self.many)
+        self.gossip_interval_ms = max(TICK_MS, gap * GOSSIP_BUDGET_SHARE / MANY_SHARE if self.many else gap)
+        self.open_life = max(ATTEMPT_REPORT_TTL_MS, 2.0 * self.gossip_interval_ms * self.many)
         self.dawn = Dawn((settings.gateways - 1) * (self.peers and not self.many))
         self.counter = settings.counter and not self.peers
         self.metered = settings.meter_ms > 0 and not self.counter and not self.peers
         self.latency = {kind: FIRST_GUESS * kind.aim_ms for kind in settings.classes}  # ms a unit
-        self.faults = [0.0 for kind in settings.classes]  # share of a class's attempts that fail
+        self.failure_rates = [0.0 for kind in settings.classes]  # share of a class's attempts that fail
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         """Decide on one event at the given time: a kind has its method (on_arrival ...) or is an end."""
@@ -100,8 +120,8 @@
             customer.bucket = min(max(self.settings.largest_units, plan.burst * part), customer.bucket + fill)
         unused = plan.rate - customer.others * self.metered
         customer.fill(elapsed, max(0.0, unused), plan.ceiling_rate * even, plan.ceiling_burst * even)
-        stale = not self.metered or self.now - customer.news_at > NEWS_MS
-        customer.fade(math.exp(-elapsed * 1000.0 / RATE_MS), stale)
+        stale = not self.metered or self.now - customer.news_at > USAGE_REPORT_TTL_MS
+        customer.fade(math.exp(-elapsed * 1000.0 / RATE_DECAY_MS), stale)
 
     def timed(self, customer: Customer) -> bool:
         """Tell whether the bucket fills by time: only where this gateway's part can hold a whole request."""
@@ -114,21 +134,21 @@
         if plan.rate <= 0 or verdict is not None:
             return verdict is not False
         heard = max(customer.news_at, self.peers_at, self.started * self.many)
-        if self.counter or self.now - heard > NEWS_MS:
+        if self.counter or self.now - heard > USAGE_REPORT_TTL_MS:
             return within
         lag_s = (METER_LAG_MS if self.metered else PEER_LAG_MS) / 1000.0
         borrow = customer.shared >= units + customer.others * lag_s
         return borrow or within or (self.metered and customer.bucket >= units)
 
-    def crowded(self, customer: Customer) -> bool:
+    def is_cap_likely_full(self, customer: Customer) -> bool:
         """Tell whether a customer likely has all attempts out that its plan allows, with those of its peers.
 
         A peer says again and again what is out, so that its silence is soon taken for its end. Until peers
         were heard for a while the even slice holds.
         """
         left = customer.plan.max_open - customer.open
-        unheard = self.now - max(self.started, self.peers_at) > NEWS_MS
-        unheard = unheard or (self.now - self.started < RATE_MS and not self.dawn.known)
+        unheard = self.now - max(self.started, self.peers_at) > USAGE_REPORT_TTL_MS
+        unheard = unheard or (self.now - self.started < RATE_DECAY_MS and not self.dawn.known)
         if left <= 0 or not self.peers or unheard:
             return max(1, int(customer.plan.max_open * customer.even)) <= customer.open or left <= 0
         left -= int(sum(out for out, at in customer.elsewhere.values() if at > self.now - self.open_life))
@@ -147,7 +167,7 @@
         if not customer.open:
             del self.outs[customer.code]
         if self.many:
-            return self.tell_set(customer)
+            return self.send_to_customer_gateways(customer)
         wait = self.told_at + self.open_gap - self.now
         if wait <= 0.0:
             self.tell_peers()
@@ -155,7 +175,7 @@
             self.tell_due = True
             self.actions.append(api.SetTimer(wait, 3))
 
-    def tell_set(self, customer: Customer) -> None:
+    def send_to_customer_gateways(self, customer: Customer) -> None:
         """Tell a customer's gateways of it: each hears as many words as it sends, and keeps to that."""
         others = customer.others_of_set(self.settings.position, self.settings.gateways)
         if not self.set_words(len(others), SET_SHARE * self.settings.peer_messages_per_s):
@@ -175,7 +195,7 @@
         self.refill(customer)
         customer.shared = taken(customer.shared, max(0.0, units - customer.spilled), self.many)
         customer.spilled, customer.news_at = 0.0, self.now
-        customer.others += units * 1000.0 / RATE_MS
+        customer.others += units * 1000.0 / RATE_DECAY_MS
 
     def metered_use(self, customer: Customer, used: float) -> None:
         """Learn the others' use, and the share of demand that the quota bears: the same at all gateways."""
@@ -196,7 +216,7 @@
             return False
         if self.many and self.barred(job):  # what would have to be given back is lost to all until then
             return False
-        name = customer.code << 8 | int(self.now / COUNT_MS) & 255
+        name = customer.code << 8 | int(self.now / COUNTER_NAME_TTL_MS) & 255
         job.told = job.units / self.ask_share
         amount, customer.unsaid = job.told + customer.unsaid, 0.0
         self.call_counter(name, amount, job, None)
@@ -205,7 +225,7 @@
     def call_counter(self, name: int, amount: float, job: Job, seen: float | None) -> None:
         """Add to a name for a try, or to put right the total that was seen."""
         self.called(name, (amount, job, self.now, seen))
-        self.actions.append(api.CounterAdd(name, amount, COUNT_MS))
+        self.actions.append(api.CounterAdd(name, amount, COUNTER_NAME_TTL_MS))
 
     def on_counterreply(self, event: api.CounterReply) -> None:
         """Book growth beyond our own call as the others', and what a quota bears of all that was asked."""
@@ -233,11 +253,11 @@
             if self.counter and self.settings.peers and max(was, percent) > TOLD_STEP * min(was, percent):
                 self.told[customer.code] = percent
                 self.remember(customer.code, percent, MOST_SHARES)
-            haste = ASK_HASTE if self.now - self.unheard_at > NEWS_MS else ASK_STEP
+            haste = ASK_HASTE if self.now - self.unheard_at > USAGE_REPORT_TTL_MS else ASK_STEP
             self.ask_share += min(1.0 - self.ask_share, haste * min(1.0, (self.now - self.asked_at) / 1000.0))
             self.asked_at = self.now
         elif asked > self.unheard_at:  # one crowd is one cut, however many calls it held up
-            self.ask_share, self.unheard_at = max(ASK_MIN, self.ask_share * ASK_CUT), self.now
+            self.ask_share, self.unheard_at = max(ASK_MIN, self.ask_share * COUNTER_SAMPLING_CUT), self.now
         if job.ended:  # its client has left meanwhile
             self.give_back(job)
         else:
@@ -282,8 +302,8 @@
         self.set_pace(wait)
         for customer in self.columns.values():
             self.refill(customer)
-            customer.pairs = [*customer.pairs[1 - WINDOW :], (customer.units, lateness + bad)]
-            tested = len(customer.pairs) >= MIN_INTERVALS and significant(customer.pairs, NORMAL_POINT)
+            customer.pairs = [*customer.pairs[1 - CORRELATION_WINDOW :], (customer.units, lateness + bad)]
+            tested = len(customer.pairs) >= MIN_INTERVALS and significant(customer.pairs, NORMAL_QUANTILE)
             customer.runs = customer.runs + 1 if tested else 0
             beyond = customer.demand + customer.others > SPARED_USE * customer.plan.rate
             if not self.pressed or customer.runs < FLAG_RUNS:
@@ -293,7 +313,9 @@
         if was != self.pressed:
             self.actions.append(api.Note(f"pressed {self.pressed}: {lateness:.2f} late, {bad:.2f} bad"))
         known = self.columns | self.asked
-        self.columns = {c.code: c for c in heapq.nlargest(COLUMNS, known.values(), key=lambda c: c.demand)}
+        self.columns = {
+            c.code: c for c in heapq.nlargest(MAX_TRACKED_CUSTOMERS, known.values(), key=lambda c: c.demand)
+        }
         for code, customer in known.items():
             customer.units = 0.0
             if code not in self.columns:
@@ -302,7 +324,7 @@
         self.warm_rate += 0.2 * (self.warm_sends / max(1, warm) - self.warm_rate) * (warm > 0)
         self.lateness = self.served = self.bad = self.ends = self.warm_sends = 0.0
         self.asked = {}
-        self.forget(self.now - KEEP_MS)
+        self.forget(self.now - IDLE_CUSTOMER_TTL_MS)
 
     def set_pace(self, wait: float) -> None:
         """Bound what is let in by a rate of our own for all servers: tries may multiply, servers do not.
@@ -316,7 +338,7 @@
         elif not self.slow:
             self.pace *= 1.0 + PACE_STEP - PACE_HASTE * min(0.0, wait)
         most = max(self.first_pace, PACE_SLACK * (1.0 + self.passed))
-        self.pace = max(PACE_MIN, min(most, self.pace))
+        self.pace = max(ADMISSION_RATE_MIN, min(most, self.pace))
         self.passes, self.waits = 0.0, self.waits[len(self.waits) // 3 :]  # old news fades
 
     # Servers and health
@@ -331,7 +353,9 @@
         for server in event.servers:
             link = self.links.get(server.address)
             if link is None or server.since_ms > link.server.since_ms:
-                link = Link(server, self.first_limit, first_turn(server.address, self.settings), self.now)
+                link = Link(
+                    server, self.first_limit, initial_cold_allowance(server.address, self.settings), self.now
+                )
                 self.links[server.address] = link
             link.server = server
             if server.since_ms and self.now - server.since_ms < self.settings.cold_ms:
@@ -339,7 +363,7 @@
             if server.phase == "deregistered":
                 del self.links[server.address]
         self.ready = [link for link in self.links.values() if link.server.phase == "healthy"]
-        self.first_pace = max(PACE_MIN, LIMIT_START * len(self.ready) / self.settings.gateways)
+        self.first_pace = max(ADMISSION_RATE_MIN, LIMIT_START * len(self.ready) / self.settings.gateways)
         if not self.passed:  # nothing known: as many a second as may be out at first
             self.pace = self.first_pace
 
@@ -354,7 +378,7 @@
         """Pick the least expected wait among servers with room, by work out and measured slowness."""
         best, least = None, math.inf
         for link in self.random.sample(ready, min(SAMPLE, len(ready))):
-            ramp = cold_room(link, self.now, self.settings, self.warm_rate)
+            ramp = cold_start_share(link, self.now, self.settings, self.warm_rate)
             quiet = link.out > 0 and link.heard < self.now - QUIET_WAIT * job.kind.aim_ms < link.sent
             used = any(attempt.link is link for attempt in job.attempts)
             shut = link.out >= max(1.0, link.limit * ramp) or self.now < link.ejected_until
@@ -365,7 +389,10 @@
             others = faded(link.others, rest, (self.now - link.reported) / REPORT_MS)
             cost = (link.out + others + 1.0) * slowness / max(0.01, link.server.weight)
             good, at = link.health.get(job.index, (1.0, -math.inf))  # the chance that it answers this class
-            cost /= max(TRUST_MIN, faded(good, 1.0 - self.faults[job.index], (self.now - at) / TRUST_MS)) ** 2
+            cost /= (
+                max(TRUST_MIN, faded(good, 1.0 - self.failure_rates[job.index], (self.now - at) / TRUST_MS))
+                ** 2
+            )
             crossing = CROSSING * self.settings.cross_zone_price * (link.server.zone != self.settings.zone)
             opening = OPENING * self.settings.handshake_price * (not link.sent)  # most likely not connected
             cost *= 1.0 + crossing + opening + JITTER * self.random.random()
@@ -377,7 +404,7 @@
         """Remember how a server did for a class, and how the class does everywhere."""
         if good or not self.slow:  # all slow is overload: crowding the few that were quick makes it worse
             link.health[job.index] = (0.5 * (link.health.get(job.index, (1.0, 0.0))[0] + good), self.now)
-            self.faults[job.index] += FAULT_GAIN * ((not good) - self.faults[job.index])
+            self.failure_rates[job.index] += FAULT_GAIN * ((not good) - self.failure_rates[job.index])
 
     def judge(self, link: Link, event: api.Outcome, job: Job) -> None:
         """Learn from how an attempt ended: latency, concurrency limit, outlier ejection."""
@@ -387,7 +414,7 @@
         ratio = event.latency_ms / max(1e-3, self.expected(job))
         telling = ending is Ending.OK or (ending is Ending.TIMEOUT and ratio > 1.0)  # not a short time-out
         if telling and self.stalled < self.now:
-            self.latency[job.kind] *= 1.0 + FLEET_GAIN * (ratio - 1.0)
+            self.latency[job.kind] *= 1.0 + FLEET_EWMA_WEIGHT * (ratio - 1.0)
             link.slowness += LATENCY_GAIN * (min(ratio, 10.0) - link.slowness)
             link.wait += LATENCY_GAIN * (lateness - link.wait)
             if not job.overdue and link.cold_since is None:  # slow start is no overload
@@ -407,14 +434,14 @@
             if ending is Ending.CONNECT_FAILED:  # a proof of death: it will be cold when it is back
                 link.down_at = self.now
             if self.now >= link.ejected_until:
-                pause = min(EJECT_MAX_MS, EJECT_MS * 2.0**link.ejections)
+                pause = min(EJECT_MAX_MS, EJECTION_MIN_MS * 2.0**link.ejections)
                 link.ejected_until, link.ejections = self.now + pause, link.ejections + 1
                 self.actions.append(api.Note(f"ejected {link.server.address}, time {link.ejections}"))
         if telling or ending in (Ending.ERROR, Ending.RESET):
             self.note_health(link, job, ending is Ending.OK)
         if "rif" in event.report:
             link.others, link.reported = max(0.0, event.report["rif"] - link.out), self.now
-            self.crowd += FLEET_GAIN * (link.others - self.crowd)
+            self.crowd += FLEET_EWMA_WEIGHT * (link.others - self.crowd)
 
     # Attempts
 
@@ -426,7 +453,9 @@
         self.actions.append(job.last_send(self.now, WINDOW_MARGIN))
         if len(job.attempts) == 1:
             wait = max(OVERDUE_MIN * job.kind.aim_ms, OVERDUE * self.expected(job))
-            self.actions.append(api.SetTimer(min(OVERDUE_MAX * job.kind.aim_ms, wait), job.id + FIRST_TOKEN))
+            self.actions.append(
+                api.SetTimer(min(OVERDUE_MAX * job.kind.aim_ms, wait), job.id + FIRST_REQUEST_TOKEN)
+            )
 
     def hopeless(self, job: Job) -> bool:
         """Tell whether too little time is left for an answer of worth, or for an attempt to end in order."""
@@ -498,24 +527,31 @@
         customer, plan = self.customers.get(event.customer), self.settings.plans[event.plan]
         if customer is None:
             code = zlib.crc32(event.customer.encode())
-            customer = Customer(plan, event.set_size, code, self.now, self.now - NEWS_MS, event.set_first)
+            customer = Customer(
+                plan, event.set_size, code, self.now, self.now - USAGE_REPORT_TTL_MS, event.set_first
+            )
             told = self.shares.get(code, 100.0) / 100.0
             customer.share = told if self.counter or self.metered else customer.even
             if self.peers:  # the store less what was told of it, where peers were heard for a while
-                heard = self.dawn.known or self.now - self.started > NEWS_MS
-                heard = heard and self.now - self.peers_at < NEWS_MS
+                heard = self.dawn.known or self.now - self.started > USAGE_REPORT_TTL_MS
+                heard = heard and self.now - self.peers_at < USAGE_REPORT_TTL_MS
                 used = self.strangers.pop(code, [])
                 # Of many, a slice is under one request: it would give nobody any until news comes.
                 left = left_of(plan, used, self.now) if heard or self.many else 0.0
                 customer.shared = max(plan.burst * customer.even, left)
-            customer.cap = customer.even * plan.ceiling_rate * min(KEEP_MS, self.now - self.started) / 1000.0
+            customer.cap = (
+                customer.even
+                * plan.ceiling_rate
+                * min(IDLE_CUSTOMER_TTL_MS, self.now - self.started)
+                / 1000.0
+            )
             customer.owned = self.owner.account(customer, self.now) if self.owner else None
             self.customers[event.customer] = self.codes[code] = customer
         self.refill(customer)
-        if not self.timed(customer) or self.now - customer.seen > RATE_MS:  # too seldom for rates
+        if not self.timed(customer) or self.now - customer.seen > RATE_DECAY_MS:  # too seldom for rates
             most = max(event.units, plan.burst * customer.even)
             customer.bucket = min(most, customer.bucket + customer.share * event.units)
-        customer.ask(self.now, event.units, event.units * 1000.0 / RATE_MS)
+        customer.ask(self.now, event.units, event.units * 1000.0 / RATE_DECAY_MS)
         self.asked[customer.code] = customer
         kind = self.settings.classes[event.request_class]
         useful = AIM_MARGIN * kind.aim_ms if kind.late_worth <= 0 else event.left_ms
@@ -542,10 +578,10 @@
         """What bars it, then its quota, then a server with room; else refuse at once."""
         customer, units, job.cause = job.customer, job.units, self.barred(job)
         job.cause = job.cause or "quota" * (not self.within_quota(customer, units, job.verdict))
-        job.cause = job.cause or "open" * (customer.plan.max_open > 0 and self.crowded(customer))
-        if job.cause == "open" and self.held.take(job, self.now, self.expected(job)):
-            if not self.held.due:
-                self.held.due = True
+        job.cause = job.cause or "open" * (customer.plan.max_open > 0 and self.is_cap_likely_full(customer))
+        if job.cause == "open" and self.waiting_requests.take(job, self.now, self.expected(job)):
+            if not self.waiting_requests.due:
+                self.waiting_requests.due = True
                 self.actions.append(api.SetTimer(STEP_MS, 4))
             return
         link = None if job.cause else self.pick(job)
@@ -553,16 +589,16 @@
             self.finish(job)
             return
         self.room_store, self.passes = self.room_store - 1.0, self.passes + 1.0
-        job.draw(units * 1000.0 / RATE_MS)
+        job.draw(units * 1000.0 / RATE_DECAY_MS)
         if self.peers:
             self.told[customer.code] = self.told.get(customer.code, 0.0) + units
-        self.retries = min(RETRY_CAP, self.retries + RETRY_SHARE)
+        self.retries = min(RETRY_CAP, self.retries + RETRY_BUDGET_PER_REQUEST)
         self.send(job, link)
         self.tell_open(customer)
 
     def release(self, customer: Customer | None) -> None:
         """Decide anew on those that wait for a place of a customer, or for any."""
-        for job in self.held.leave(customer):
+        for job in self.waiting_requests.leave(customer):
             self.admit(job)
 
     def on_outcome(self, event: api.Outcome) -> None:
@@ -588,11 +624,13 @@
 
     def on_alarm(self, event: api.Alarm) -> None:
         """Timers: the interval, the tick to peers, following the list, and hedges by request."""
-        job = self.jobs.get(event.token - FIRST_TOKEN)
+        job = self.jobs.get(event.token - FIRST_REQUEST_TOKEN)
         if event.token == 0:
             self.close_interval()
         elif event.token == 1:
-            self.actions.append(api.SetTimer(self.tell_gap * (0.5 + self.random.random()), 1))  # not in step
+            self.actions.append(
+                api.SetTimer(self.gossip_interval_ms * (0.5 + self.random.random()), 1)
+            )  # not in step
             self.opened = self.outs | self.opened
             self.told |= self.dawn.word(self.now - self.started)
             if (self.told or self.opened) and self.now - self.told_at >= self.open_gap:
--- a/petrelhall/decide/slowstart.py
+++ b/petrelhall/decide/slowstart.py
@@ -8,14 +8,14 @@
 from petrelhall.decide.interface import Settings
 from petrelhall.decide.state import Link
 
-COLD_PART = 0.64  # of the work that pushes a cold server over: a warm one's work, times it, is its share
+COLD_LOAD_SHARE = 0.64  # of the work that pushes a cold server over: a warm one's work, times it, is its share
 # Attempts of all gateways that may be kept unmade: 1, a part of the R that may be made in the time of a fall, and of
 # its root. With R = 0.64 N these and R together stay under N + 2 sqrt(N) + 1, N being what pushes the server over.
 KEPT_PART, KEPT_ROOT = 0.5, 2.0
 COLD_FLOOR = 0.5  # requests/s to a cold server from all gateways while no warm rate is known
 
 
-def cold_room(link: Link, now: float, settings: Settings, warm_rate: float) -> float:
+def cold_start_share(link: Link, now: float, settings: Settings, warm_rate: float) -> float:
     """Slow start: the share of a warm server's work that this one can do, 0 once it had that.
 
     ``warm_rate`` is what this gateway sends to a warm server, in attempts a second.
@@ -29,7 +29,7 @@
         link.cold_since = None
         return 1.0
     ramp = settings.cold_from + (1.0 - settings.cold_from) * max(0.0, age)
-    share = ramp * max(1.0, COLD_PART * settings.overload_factor)
+    share = ramp * max(1.0, COLD_LOAD_SHARE * settings.overload_factor)
     rate = share * max(COLD_FLOOR / settings.gateways, warm_rate) / 1000.0
     store = link.cold_store + rate * (now - link.cold_filled)
     made = rate * settings.gateways * settings.fall_ms
@@ -43,7 +43,7 @@
     return ramp if store >= 1.0 else 0.0
 
 
-def first_turn(address: str, settings: Settings) -> float:
+def initial_cold_allowance(address: str, settings: Settings) -> float:
     """Give what a gateway has at first of an attempt at a server that may prove cold: by number, an even part apart."""
     place = zlib.crc32(address.encode()) / 2.0**32
     return ((settings.position + 0.5) / settings.gateways + place) % 1.0
--- a/petrelhall/decide/waiting.py
+++ b/petrelhall/decide/waiting.py
@@ -9,7 +9,9 @@
 
 from petrelhall.decide.state import Customer, Job
 
-SHARE = 0.35  # of the aim, and of the client's patience, for which a request may wait: late answers earn little
+MAX_WAIT_SHARE = (
+    0.35  # of the aim, and of the client's patience, for which a request may wait: late answers earn little
+)
 STEP_MS = 20.0  # between two looks, since news of peers also fades by itself
 
 
@@ -20,7 +22,7 @@
 
     def take(self, job: Job, now: float, expected_ms: float) -> bool:
         """Keep a request, if it may still wait and those before it leave a place that comes in time."""
-        wait = SHARE * min(job.kind.aim_ms, job.event.left_ms)
+        wait = MAX_WAIT_SHARE * min(job.kind.aim_ms, job.event.left_ms)
         places = job.customer.plan.max_open * wait / max(1.0, expected_ms)
         before = sum(other.customer is job.customer for other in self.values())
         if now >= job.taken + wait or job.attempts or before >= places:
--- a/petrelhall/gateway/program.py
+++ b/petrelhall/gateway/program.py
@@ -395,7 +395,7 @@
         except snapshot.SnapshotError as error:
             return self.log.write(f"snapshot of the process before this one ignored: {error}")
         self.module.latency = dict(zip(self.config.settings.classes, latency, strict=True))
-        self.module.faults = faults
+        self.module.failure_rates = faults
         replan(self.module, self.config.settings.plans, self.module.settings.plans, now_ms())
         self.log.write(
             f"taken over from the process before this one: {len(self.module.customers)} customers, "
@@ -409,7 +409,7 @@
             self.module,
             self.config.settings,
             [self.module.latency[kind] for kind in classes],
-            self.module.faults,
+            self.module.failure_rates,
             self.module.settings.plans,
         )
 
--- a/petrelhall/gateway/sharing.py
+++ b/petrelhall/gateway/sharing.py
@@ -22,7 +22,9 @@
 from petrelhall.quota.words import KIND
 
 FORGET_MS = 5000.0  # between two sweeps
-IDLE_MS = 20000.0  # of accounts that are dropped: the module has let go of their customers before (KEEP_MS)
+IDLE_MS = (
+    20000.0  # of accounts that are dropped: the module has let go of their customers before (IDLE_CUSTOMER_TTL_MS)
+)
 NONE = math.inf  # of a plan without a quota or a ceiling
 UNADDED = {Ending.FULL, Ending.ERROR, Ending.CONNECT_FAILED}  # calls of which surely nothing came
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -29,7 +29,7 @@
     """Take a snapshot, and carry it as a file does."""
     gateway = door.gateway
     taken = snapshot.take(
-        gateway, gateway.settings, [gateway.latency[kind] for kind in gateway.settings.classes], gateway.faults
+        gateway, gateway.settings, [gateway.latency[kind] for kind in gateway.settings.classes], gateway.failure_rates
     )
     return handed(letter(7, taken), 7)
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -37,7 +37,7 @@
     Tell,
 )
 from petrelhall.decide.policy import Gateway
-from petrelhall.decide.slowstart import COLD_PART, cold_room, first_turn
+from petrelhall.decide.slowstart import COLD_LOAD_SHARE, cold_start_share, initial_cold_allowance
 from petrelhall.decide.state import Customer, Link, taken
 
 SETTINGS = Settings(
@@ -221,7 +221,7 @@
         assert isinstance(send, Send)
         door.answer(send, ending)
     assert isinstance(door.ask(), Refuse)
-    door.now += policy.EJECT_MS
+    door.now += policy.EJECTION_MIN_MS
     door.serve(door.ask())
     assert door.gateway.links["s0"].cold_since is None
 
@@ -296,7 +296,7 @@
     plan = Plan(rate=100, burst=200, max_open=3)
     door = Door(replace(SETTINGS, plans=(plan,), peers=True, peer_messages_per_s=60))
     assert isinstance(door.ask(), Send) and door.ask() is HELD  # unheard: the even slice, 3 // 2
-    door.now += policy.RATE_MS
+    door.now += policy.RATE_DECAY_MS
     assert finals(door.feed(Alarm(4)))  # it has waited long enough
     code = door.known("a").code  # a second is out
     door.feed(PeerMessage(1, gossip.encode([], [(code, 1)])))
@@ -307,7 +307,7 @@
     assert not sends(door.answer(Send(1, "s0"), Ending.OK))
     assert sends(door.answer(Send(3, "s0"), Ending.OK))
     assert door.ask() is HELD
-    door.now += policy.OPEN_MS  # that theirs ended may have been lost
+    door.now += policy.ATTEMPT_REPORT_TTL_MS  # that theirs ended may have been lost
     assert sends(door.feed(Alarm(4)))
     door.answer(Send(4, "s0"), Ending.OK)
     door.feed(PeerMessage(1, gossip.encode([(code, 60)], [(code, 0)])))  # 20 a second: one may be new
@@ -343,7 +343,7 @@
     def capped() -> Refuse:
         """Give the refusal of one that waits for a place until it may wait no longer."""
         assert door.ask() is HELD
-        door.now += waiting.SHARE * SETTINGS.classes[0].aim_ms
+        door.now += waiting.MAX_WAIT_SHARE * SETTINGS.classes[0].aim_ms
         (refusal,) = finals(door.feed(Alarm(4)))
         assert isinstance(refusal, Refuse) and refusal.cause == "open"
         return refusal
@@ -367,7 +367,7 @@
     door.feed(ClientGone(2))
     (next_one,) = sends(door.answer(first, Ending.OK))
     assert next_one.request == 3  # in turn, but for those who left
-    assert not door.gateway.held
+    assert not door.gateway.waiting_requests
 
 
 def test_an_error_that_comes_at_once_takes_little_of_the_retry_budget() -> None:
@@ -376,7 +376,7 @@
         door.gateway.retries = 1.0
         tried = 0
         for _ in range(6):
-            door.gateway.retries -= policy.RETRY_SHARE  # what the first attempt earns
+            door.gateway.retries -= policy.RETRY_BUDGET_PER_REQUEST  # what the first attempt earns
             send = door.ask()
             assert isinstance(send, Send)
             again = sends(door.answer(send, ending, ms=ms, done=False))
@@ -400,11 +400,11 @@
     """Half warm, it takes half of what a warm one serves, times what it bears: 0.64 of twice its capacity."""
     door = Door(servers=(Server("cold", since_ms=1e6 - 5000.0),))
     link = door.gateway.links["cold"]
-    cold_room(link, door.now, SETTINGS, 10.0)
+    cold_start_share(link, door.now, SETTINGS, 10.0)
     link.cold_store = 0.0
-    cold_room(link, door.now + 50.0, SETTINGS, 10.0)
+    cold_start_share(link, door.now + 50.0, SETTINGS, 10.0)
     half = 0.2 + 0.8 * 5050.0 / 10000.0
-    assert link.cold_store == pytest.approx(COLD_PART * 2.0 * half * 10.0 * 0.05)
+    assert link.cold_store == pytest.approx(COLD_LOAD_SHARE * 2.0 * half * 10.0 * 0.05)
 
 
 def test_what_a_lost_message_told_comes_with_the_next_and_another_count_is_not_taken_for_it() -> None:
@@ -453,7 +453,7 @@
     settings = replace(SETTINGS, plans=(Plan(rate=1, burst=8),), gateways=4, peers=True, peer_messages_per_s=100)
     for used, expected in ((0.0, 8.0), (5.0, 3.0), (50.0, 2.0)):  # an even slice at least
         door = Door(settings)
-        door.now += policy.NEWS_MS + 1
+        door.now += policy.USAGE_REPORT_TTL_MS + 1
         door.feed(PeerMessage(1, gossip.encode([(zlib.crc32(b"a"), used)])))
         door.ask(spread=4)
         assert door.gateway.customers["a"].shared == pytest.approx(expected - 1.0)
@@ -492,7 +492,7 @@
     gateway.actions.clear()
     for _ in range(9):
         gateway.told[code] = 2.0
-        gateway.tell_set(gateway.customers["a"])
+        gateway.send_to_customer_gateways(gateway.customers["a"])
     words = [a for a in gateway.actions if isinstance(a, Tell)]
     assert sum(len(word.to) for word in words) <= 75 < sum(len(word.to) for word in words) + 11  # a second's share
     door.now += 3000
@@ -516,10 +516,14 @@
     door.now += 3500
     for sender in (3, 4, 5):
         door.feed(PeerMessage(sender, gossip.encode([], [(zlib.crc32(b"a"), 1)])))
-    for wait, full in ((0.0, True), (1.9 * door.gateway.tell_gap, True), (0.2 * door.gateway.tell_gap, False)):
+    for wait, full in (
+        (0.0, True),
+        (1.9 * door.gateway.gossip_interval_ms, True),
+        (0.2 * door.gateway.gossip_interval_ms, False),
+    ):
         door.now += wait
         door.gateway.now = door.gateway.peers_at = door.now
-        assert door.gateway.crowded(customer) == full
+        assert door.gateway.is_cap_likely_full(customer) == full
 
 
 def test_a_gateway_that_has_seen_little_is_not_held_to_the_pace_of_what_it_let_in() -> None:
@@ -553,7 +557,7 @@
     send = door.ask()
     assert isinstance(send, Send)
     door.feed(Outcome(send.request, 0, send.server, Ending.OK, 50, True, report={"rif": 11.0}))
-    assert door.gateway.crowd == pytest.approx(policy.FLEET_GAIN * 11.0)
+    assert door.gateway.crowd == pytest.approx(policy.FLEET_EWMA_WEIGHT * 11.0)
 
 
 def test_servers_that_drain_do_not_lower_the_pace_of_cold_ones() -> None:
@@ -583,7 +587,7 @@
     customer.open = 3
     for others, full in ((2.0, False), (5.0, True)):  # begun since the news: 6% and 14% of the time
         customer.others = others
-        assert door.gateway.crowded(customer) == full
+        assert door.gateway.is_cap_likely_full(customer) == full
 
 
 def test_demand_is_shed_from_a_median_of_two_fifths_of_the_aim() -> None:
@@ -599,7 +603,7 @@
     for _ in range(2):
         assert isinstance(door.ask(spread=30), Send)
         door.now += 100
-    door.now += policy.NEWS_MS
+    door.now += policy.USAGE_REPORT_TTL_MS
     assert isinstance(door.ask(spread=30), Refuse)  # nobody is heard: its slice alone
 
 
@@ -626,7 +630,7 @@
     door = Door(replace(MANY, counter=True, counter_wait_ms=80, plans=(Plan(rate=1, burst=4),)), SIXTY)
     held = door.feed(Arrival(1, 0, 0, "a", 3000, 1, 30))
     name = next(a.name for a in held if isinstance(a, CounterAdd))
-    level = 4 + door.now % policy.COUNT_MS / 1000  # what the name may hold by now
+    level = 4 + door.now % policy.COUNTER_NAME_TTL_MS / 1000  # what the name may hold by now
     door.gateway.ask_share = 0.9  # given back at once though the counter was crowded
     refused = door.feed(CounterReply(name, Ending.OK, level + 1.0))
     assert isinstance(finals(refused)[0], Refuse) and asked_of(refused) == [-1.0]
@@ -659,8 +663,8 @@
         door.feed(PeerMessage(3, gossip.encode([(code, 1.0)])))
         door.now += 1000
         door.feed(Alarm(0))
-    assert len(door.gateway.strangers[code]) <= policy.KEEP_MS / 1000
-    door.now += 2 * policy.KEEP_MS
+    assert len(door.gateway.strangers[code]) <= policy.IDLE_CUSTOMER_TTL_MS / 1000
+    door.now += 2 * policy.IDLE_CUSTOMER_TTL_MS
     door.feed(Alarm(0))
     assert not door.gateway.strangers
 
@@ -749,20 +753,20 @@
 
 
 def test_a_driver_of_pressure_is_flagged_and_others_are_not() -> None:
-    pressure = [1.0 + (n % 5) for n in range(policy.WINDOW)]
+    pressure = [1.0 + (n % 5) for n in range(policy.CORRELATION_WINDOW)]
     assert correlated(deque((10.0 * p, p) for p in pressure))
     assert not correlated(deque((100.0 - 10.0 * p, p) for p in pressure))
     assert not correlated(deque((float(n % 2), p) for n, p in enumerate(pressure)))
 
 
 def test_constant_input_gives_no_flag() -> None:
-    assert not correlated(deque((7.0, float(n)) for n in range(policy.WINDOW)))
-    assert t_statistic([(float(n), 7.0) for n in range(policy.WINDOW)]) == 0.0
+    assert not correlated(deque((7.0, float(n)) for n in range(policy.CORRELATION_WINDOW)))
+    assert t_statistic([(float(n), 7.0) for n in range(policy.CORRELATION_WINDOW)]) == 0.0
 
 
 @pytest.mark.parametrize(("n", "point"), [(8, 2.447), (12, 2.228), (30, 2.048)])
 def test_critical_points_are_students_at_the_degrees_of_freedom_at_hand(n: int, point: float) -> None:
-    assert critical_t(policy.NORMAL_POINT, n) == pytest.approx(point, rel=0.02)
+    assert critical_t(policy.NORMAL_QUANTILE, n) == pytest.approx(point, rel=0.02)
 
 
 def press(door: Door, intervals: int) -> tuple[int, int]:
@@ -817,7 +821,7 @@
         if n % 10 == 0:
             door.feed(Alarm(0))
     assert len(door.gateway.customers) < 1000
-    assert len(door.gateway.columns) <= policy.COLUMNS
+    assert len(door.gateway.columns) <= policy.MAX_TRACKED_CUSTOMERS
     assert not door.gateway.jobs
 
 
@@ -882,7 +886,7 @@
         links = []
         for number in range(gateways):
             settings = replace(SETTINGS, gateways=gateways, position=number)
-            link = Link(Server(address), 12.0, first_turn(address, settings), 0.0)
+            link = Link(Server(address), 12.0, initial_cold_allowance(address, settings), 0.0)
             link.cold_since = 0.0
             links.append((link, settings, total * shares[number] / sum(shares)))
         for step in range(1, 500):
@@ -892,7 +896,7 @@
                     continue
                 if way != "crowd" and (step * 7919 + number * 104729) % 997 >= 997 * min(1.0, 10.0 * rate * 0.02):
                     continue
-                if cold_room(link, now, settings, rate) > 0.0:
+                if cold_start_share(link, now, settings, rate) > 0.0:
                     link.cold_store -= 1.0
                     sent.append(now)
         fall, used = SETTINGS.fall_ms, 0.0
@@ -1075,7 +1079,7 @@
 
 def test_a_first_second_lets_in_no_more_than_may_be_out_at_all_servers() -> None:
     door = Door(replace(SETTINGS, gateways=360))
-    assert door.gateway.pace == policy.PACE_MIN
+    assert door.gateway.pace == policy.ADMISSION_RATE_MIN
     assert Door(replace(SETTINGS, gateways=12)).gateway.pace == policy.LIMIT_START * 3 / 12
 
 
@@ -1103,21 +1107,21 @@
 
 
 def test_a_full_store_on_the_counter_loses_what_is_more() -> None:
-    door = Door(replace(SETTINGS, counter=True, counter_wait_ms=80), now=50 * policy.COUNT_MS + 10000)
+    door = Door(replace(SETTINGS, counter=True, counter_wait_ms=80), now=50 * policy.COUNTER_NAME_TTL_MS + 10000)
     _, adds = counted(1.0, door)
     assert [a.amount for a in adds] == [20.0]  # 10 s at 2 units a second
 
 
 def test_a_store_put_right_twice_is_taken_back_once() -> None:
-    door = Door(replace(SETTINGS, counter=True, counter_wait_ms=80), now=50 * policy.COUNT_MS + 10000)
+    door = Door(replace(SETTINGS, counter=True, counter_wait_ms=80), now=50 * policy.COUNTER_NAME_TTL_MS + 10000)
     _, adds = counted(1.0, door)
     late = door.feed(CounterReply(adds[0].name, Ending.OK, 41.0))
     assert [a.amount for a in late if isinstance(a, CounterAdd)] == [-20.0]
 
 
 def test_a_new_name_does_not_bring_a_new_burst() -> None:
-    door = Door(replace(SETTINGS, counter=True, counter_wait_ms=80), now=51 * policy.COUNT_MS - 100)
-    _, adds = counted(4.0 + 2 * (policy.COUNT_MS - 100) / 1000, door)
+    door = Door(replace(SETTINGS, counter=True, counter_wait_ms=80), now=51 * policy.COUNTER_NAME_TTL_MS - 100)
+    _, adds = counted(4.0 + 2 * (policy.COUNTER_NAME_TTL_MS - 100) / 1000, door)
     assert not adds
     door.feed(CounterReply(0, Ending.OK, 0.0))
     door.now += 200
@@ -1132,7 +1136,7 @@
     door.now += 80
     for name in names:
         door.feed(CounterReply(name, Ending.TIMEOUT))
-    assert door.gateway.ask_share == policy.ASK_CUT
+    assert door.gateway.ask_share == policy.COUNTER_SAMPLING_CUT
 
 
 def test_a_class_that_hangs_once_does_not_end_trust_in_its_server() -> None:
@@ -1140,7 +1144,7 @@
     send = door.ask()
     assert isinstance(send, Send)
     door.now += 600
-    door.feed(Alarm(send.request + policy.FIRST_TOKEN))
+    door.feed(Alarm(send.request + policy.FIRST_REQUEST_TOKEN))
     value, _ = door.gateway.links["s0"].health[0]
     assert value == 0.5
 
@@ -1150,7 +1154,7 @@
     send = door.ask()
     assert isinstance(send, Send)
     door.now += 600
-    door.feed(Alarm(send.request + policy.FIRST_TOKEN))
+    door.feed(Alarm(send.request + policy.FIRST_REQUEST_TOKEN))
     assert door.gateway.waits == [0.6]
     door.answer(send, Ending.OK, ms=900)
     assert door.gateway.waits == [0.6]
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -16,7 +16,7 @@
 from petrelhall.decide import interface as api
 from petrelhall.decide import snapshot
 from petrelhall.decide.interface import Ending
-from petrelhall.decide.policy import KEEP_MS, Gateway
+from petrelhall.decide.policy import IDLE_CUSTOMER_TTL_MS, Gateway
 from petrelhall.emulate.exchange import explore as explore_counter
 from petrelhall.emulate.quota import explore, fleet
 from petrelhall.events import Dropped, Send
@@ -182,7 +182,7 @@
         ledger.forget(20000.0, 5000.0)
         self.assertEqual(len(ledger.accounts), 0)
         # A customer that the module still holds has its account here too, or it could neither ask nor lend.
-        self.assertGreater(IDLE_MS, KEEP_MS)
+        self.assertGreater(IDLE_MS, IDLE_CUSTOMER_TTL_MS)
 
 
 class Module(unittest.TestCase):
