--- a/petrelhall/gateway/program.py
+++ b/petrelhall/gateway/program.py
@@ -430,7 +430,7 @@
         except snapshot.SnapshotError as error:
             return self.log.write(f"ignoring the snapshot of the process being replaced: {error}")
         self.module.latency = dict(zip(self.config.settings.classes, latency, strict=True))
-        self.module.faults = faults
+        self.module.failure_rates = faults
         replan(self.module, self.config.settings.plans, self.module.settings.plans, now_ms())
         self.log.write(
             f"restored from the process being replaced: {len(self.module.customers)} customers, "
@@ -444,7 +444,7 @@
             self.module,
             self.config.settings,
             [self.module.latency[request_class] for request_class in classes],
-            self.module.faults,
+            self.module.failure_rates,
             self.module.settings.plans,
         )
 
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -29,7 +29,7 @@
     """Take a snapshot and pass it through the encoding of a handover file."""
     gateway = door.gateway
     content = snapshot.take(
-        gateway, gateway.settings, [gateway.latency[kind] for kind in gateway.settings.classes], gateway.faults
+        gateway, gateway.settings, [gateway.latency[kind] for kind in gateway.settings.classes], gateway.failure_rates
     )
     return handed(letter(7, content), 7)
 
