--- a/benchmarks/scale/subjects/decide_tenants.py
+++ b/benchmarks/scale/subjects/decide_tenants.py
@@ -127,7 +127,7 @@
     latency = [module.latency[kind] for kind in settings.classes]
     content = ujson.dumps(snapshot.take(module, settings, latency, module.faults, settings.plans)).encode()
     successor = Gateway(settings, 1)
-    servers = tuple(api.Server(address) for address in module.links)
+    servers = tuple(api.Server(address) for address in module.servers)
     successor.handle(module.now, api.ServerList("full", servers))
     snapshot.restore(successor, settings, ujson.loads(content), module.now)
     return content
--- a/petrelhall/decide/dawn.py
+++ b/petrelhall/decide/dawn.py
@@ -8,39 +8,39 @@
 
 from __future__ import annotations
 
-from petrelhall.decide.gossip import AGE
+from petrelhall.decide.gossip import AGE_CODE
 from petrelhall.decide.state import Customer
 
-TELL_MS, ALIKE_MS = 5000.0, 1000.0  # for which an age is told; ages this close began together
+REPORT_AGE_MS, SAME_START_MS = 5000.0, 1000.0  # for which an age is told; ages this close began together
 
 
-class Dawn:
+class InitialFill:
     """The ages that were heard."""
 
     def __init__(self, others: int) -> None:
-        self.others, self.alike = others, set[int]()
-        self.known = False  # that all began together
+        self.others, self.same_age = others, set[int]()
+        self.confirmed = False  # that all began together
 
-    def word(self, age_ms: float) -> dict[int, float]:
+    def age_entry(self, age_ms: float) -> dict[int, float]:
         """Give what is told of our own age."""
-        return {AGE: age_ms / 1000.0} if 0.0 < age_ms < TELL_MS and self.others else {}
+        return {AGE_CODE: age_ms / 1000.0} if 0.0 < age_ms < REPORT_AGE_MS and self.others else {}
 
-    def heard(self, sender: int, age_s: float, own_ms: float) -> bool:
+    def receive(self, sender: int, age_s: float, own_ms: float) -> bool:
         """Hear a peer's age; True at the moment from which it is known that all began together."""
-        if self.known or own_ms >= TELL_MS:
+        if self.confirmed or own_ms >= REPORT_AGE_MS:
             return False
-        if abs(1000.0 * age_s - own_ms) <= ALIKE_MS:
-            self.alike.add(sender)
+        if abs(1000.0 * age_s - own_ms) <= SAME_START_MS:
+            self.same_age.add(sender)
         else:
-            self.alike.clear()
+            self.same_age.clear()
             self.others = 0  # one that is older, or not as old, settles it: this is no new day
-        self.known = 0 < self.others <= len(self.alike)
-        return self.known
+        self.confirmed = 0 < self.others <= len(self.same_age)
+        return self.confirmed
 
 
 def fill(customer: Customer) -> None:
     """Put into a store what was left out of it for as long as this was not known."""
     plan = customer.plan
-    if customer.owned is not None:
-        customer.owned.fill(customer.filled)
-    customer.shared = min(plan.burst, customer.shared + plan.burst * (1.0 - customer.even))
+    if customer.owned_quota is not None:
+        customer.owned_quota.fill(customer.filled_at)
+    customer.shared_bucket = min(plan.burst, customer.shared_bucket + plan.burst * (1.0 - customer.even))
--- a/petrelhall/decide/ledger.py
+++ b/petrelhall/decide/ledger.py
@@ -17,15 +17,15 @@
     Refused units are given back, a store above a burst loses the rest, a new name's first call carries over what
     the last lacked: an emptied counter brings one burst and no more.
     """
-    plan, filled = customer.plan, customer.level_now(asked)
+    plan, filled = customer.plan, customer.max_level(asked)
     level = plan.burst + plan.rate * (asked % COUNT_MS) / 1000.0 - total
     put_right = max(0.0, level + amount - plan.burst)
-    if total <= amount and customer.level_at < asked - asked % COUNT_MS:
+    if total <= amount and customer.counter_level_at < asked - asked % COUNT_MS:
         put_right += max(0.0, plan.burst - filled)
     elif put_right < PUT_RIGHT * plan.burst:
         put_right = 0.0
     within = level - put_right + told - units >= -1e-6
-    customer.share += SHARE_GAIN * (within - customer.share)
+    customer.admit_share += SHARE_GAIN * (within - customer.admit_share)
     put_right -= 0.0 if within else told
-    customer.level, customer.level_at = level - put_right, asked
+    customer.counter_level, customer.counter_level_at = level - put_right, asked
     return within, put_right
--- a/petrelhall/decide/policy.py
+++ b/petrelhall/decide/policy.py
@@ -11,12 +11,12 @@
 from petrelhall.decide import gossip
 from petrelhall.decide import interface as api
 from petrelhall.decide.correlation import significant
-from petrelhall.decide.dawn import Dawn, fill
+from petrelhall.decide.dawn import InitialFill, fill
 from petrelhall.decide.interface import Effect, Ending
 from petrelhall.decide.ledger import COUNT_MS, verdict
 from petrelhall.decide.retries import price
 from petrelhall.decide.slowstart import cold_room, first_turn
-from petrelhall.decide.state import Customer, Job, Link, Memory, faded, left_of, taken
+from petrelhall.decide.state import Customer, GatewayState, InFlightRequest, ServerState, decay, replay, spend
 from petrelhall.decide.waiting import STEP_MS, Held
 
 # Correlation and cut
@@ -61,11 +61,11 @@
 FIRST_TOKEN = 5  # timers: 0 interval, 1 and 3 peers, 2 list, 4 who waits, then one for each request
 
 
-class Gateway(Memory):
+class Gateway(GatewayState):
     """One front door: feed it every event in order, carry out the actions in order."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        super().__init__(retries=RETRY_CAP / 2)
+        super().__init__(retry_budget=RETRY_CAP / 2)
         self.settings, self.random, self.held = settings, random.Random(seed), Held()
         self.first_limit = max(LIMIT_MIN, LIMIT_START / settings.gateways)
         mail = max(1.0, settings.peer_messages_per_s)
@@ -75,7 +75,7 @@
         self.many = self.peers and self.open_gap > MANY_MS  # what cannot wait for a word to all goes to sets
         self.tell_gap = max(TICK_MS, gap * MAIL_SHARE / MANY_SHARE if self.many else gap)
         self.open_life = max(OPEN_MS, 2.0 * self.tell_gap * self.many)
-        self.dawn = Dawn((settings.gateways - 1) * (self.peers and not self.many))
+        self.dawn = InitialFill((settings.gateways - 1) * (self.peers and not self.many))
         self.counter = settings.counter and not self.peers
         self.metered = settings.meter_ms > 0 and not self.counter and not self.peers
         self.latency = {kind: FIRST_GUESS * kind.aim_ms for kind in settings.classes}  # ms a unit
@@ -84,7 +84,7 @@
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         """Decide on one event at the given time: a kind has its method (on_arrival ...) or is an end."""
         self.now, self.actions = now, []
-        self.stalled = now if now > self.interval_due + STALL_MS else self.stalled  # this tells of us alone
+        self.stall_at = now if now > self.interval_due + STALL_MS else self.stall_at  # this tells of us alone
         getattr(self, "on_" + type(event).__name__.lower(), self.end)(event)
         return self.actions
 
@@ -92,16 +92,16 @@
 
     def refill(self, customer: Customer) -> None:
         """Bring a customer's stores and rates up to now."""
-        plan, even, elapsed = customer.plan, customer.even, (self.now - customer.filled) / 1000.0
-        customer.filled, use = self.now, max(1e-9, customer.sent + customer.others)
-        part = max(even, customer.sent / use)
+        plan, even, elapsed = customer.plan, customer.even, (self.now - customer.filled_at) / 1000.0
+        customer.filled_at, use = self.now, max(1e-9, customer.sent_rate + customer.others_rate)
+        part = max(even, customer.sent_rate / use)
         if self.timed(customer):
             fill = part * elapsed * plan.rate * min(1.0, plan.rate / use)
             customer.bucket = min(max(self.settings.largest_units, plan.burst * part), customer.bucket + fill)
-        unused = plan.rate - customer.others * self.metered
-        customer.fill(elapsed, max(0.0, unused), plan.ceiling_rate * even, plan.ceiling_burst * even)
-        stale = not self.metered or self.now - customer.news_at > NEWS_MS
-        customer.fade(math.exp(-elapsed * 1000.0 / RATE_MS), stale)
+        unused = plan.rate - customer.others_rate * self.metered
+        customer.add_tokens(elapsed, max(0.0, unused), plan.ceiling_rate * even, plan.ceiling_burst * even)
+        stale = not self.metered or self.now - customer.others_at > NEWS_MS
+        customer.decay_rates(math.exp(-elapsed * 1000.0 / RATE_MS), stale)
 
     def timed(self, customer: Customer) -> bool:
         """Tell whether the bucket fills by time: only where this gateway's part can hold a whole request."""
@@ -110,14 +110,14 @@
 
     def within_quota(self, customer: Customer, units: float, verdict: bool | None) -> bool:
         """Let the bucket decide; beyond it, borrow room that the others are known to leave unused."""
-        plan, within = customer.plan, min(customer.bucket, customer.shared) >= units
+        plan, within = customer.plan, min(customer.bucket, customer.shared_bucket) >= units
         if plan.rate <= 0 or verdict is not None:
             return verdict is not False
-        heard = max(customer.news_at, self.peers_at, self.started * self.many)
+        heard = max(customer.others_at, self.peer_news_at, self.started * self.many)
         if self.counter or self.now - heard > NEWS_MS:
             return within
         lag_s = (METER_LAG_MS if self.metered else PEER_LAG_MS) / 1000.0
-        borrow = customer.shared >= units + customer.others * lag_s
+        borrow = customer.shared_bucket >= units + customer.others_rate * lag_s
         return borrow or within or (self.metered and customer.bucket >= units)
 
     def crowded(self, customer: Customer) -> bool:
@@ -127,12 +127,12 @@
         were heard for a while the even slice holds.
         """
         left = customer.plan.max_open - customer.open
-        unheard = self.now - max(self.started, self.peers_at) > NEWS_MS
-        unheard = unheard or (self.now - self.started < RATE_MS and not self.dawn.known)
+        unheard = self.now - max(self.started, self.peer_news_at) > NEWS_MS
+        unheard = unheard or (self.now - self.started < RATE_MS and not self.dawn.confirmed)
         if left <= 0 or not self.peers or unheard:
             return max(1, int(customer.plan.max_open * customer.even)) <= customer.open or left <= 0
-        left -= int(sum(out for out, at in customer.elsewhere.values() if at > self.now - self.open_life))
-        begun = customer.others * OPEN_LAG_MS / 1000.0  # theirs since: it scatters as Poisson's does
+        left -= int(sum(out for out, at in customer.peers_open.values() if at > self.now - self.open_life))
+        begun = customer.others_rate * OPEN_LAG_MS / 1000.0  # theirs since: it scatters as Poisson's does
         fewer = math.exp(-begun) * sum(begun**n / math.factorial(n) for n in range(left))
         return 1.0 - fewer > (MANY_RISK if self.many else OPEN_RISK)
 
@@ -143,73 +143,73 @@
         """
         if not self.peers or customer.plan.max_open <= 0:
             return
-        self.opened[customer.code] = self.outs[customer.code] = customer.open
+        self.unsent_open[customer.code] = self.open_counts[customer.code] = customer.open
         if not customer.open:
-            del self.outs[customer.code]
+            del self.open_counts[customer.code]
         if self.many:
             return self.tell_set(customer)
-        wait = self.told_at + self.open_gap - self.now
+        wait = self.broadcast_at + self.open_gap - self.now
         if wait <= 0.0:
             self.tell_peers()
-        elif not self.tell_due:
-            self.tell_due = True
+        elif not self.broadcast_due:
+            self.broadcast_due = True
             self.actions.append(api.SetTimer(wait, 3))
 
     def tell_set(self, customer: Customer) -> None:
         """Tell a customer's gateways of it: each hears as many words as it sends, and keeps to that."""
-        others = customer.others_of_set(self.settings.position, self.settings.gateways)
-        if not self.set_words(len(others), SET_SHARE * self.settings.peer_messages_per_s):
+        others = customer.other_gateways(self.settings.position, self.settings.gateways)
+        if not self.take_message_tokens(len(others), SET_SHARE * self.settings.peer_messages_per_s):
             return  # it goes with the next word to all
-        code, told = customer.code, self.told.pop(customer.code, 0.0)
-        opens = [(code, self.opened.pop(code))] if code in self.opened else []
-        self.actions.append(api.Tell(gossip.encode([(code, told)], opens, self.sums), others))
+        code, told = customer.code, self.unsent.pop(customer.code, 0.0)
+        opens = [(code, self.unsent_open.pop(code))] if code in self.unsent_open else []
+        self.actions.append(api.Tell(gossip.encode([(code, told)], opens, self.sent_sums), others))
 
     def tell_peers(self) -> None:
         """Send what peers were not told yet, as far as a message holds it."""
-        content, self.told, self.opened = gossip.pack(self.told, self.opened, self.sums)
+        content, self.unsent, self.unsent_open = gossip.pack(self.unsent, self.unsent_open, self.sent_sums)
         self.actions.append(api.Tell(content))
-        self.told_at = self.now
+        self.broadcast_at = self.now
 
     def others_used(self, customer: Customer, units: float) -> None:
         """Book what other gateways sent on; what a full store would have lost pays first."""
         self.refill(customer)
-        customer.shared = taken(customer.shared, max(0.0, units - customer.spilled), self.many)
-        customer.spilled, customer.news_at = 0.0, self.now
-        customer.others += units * 1000.0 / RATE_MS
+        customer.shared_bucket = spend(customer.shared_bucket, max(0.0, units - customer.overflow), self.many)
+        customer.overflow, customer.others_at = 0.0, self.now
+        customer.others_rate += units * 1000.0 / RATE_MS
 
     def metered_use(self, customer: Customer, used: float) -> None:
         """Learn the others' use, and the share of demand that the quota bears: the same at all gateways."""
         self.refill(customer)
-        step = min(PASS_GAIN, (self.now - customer.news_at) / PASS_MS) * (1.0 - used) / max(1.0, used)
-        customer.share = max(PASS_MIN, min(1.0, customer.share * (1.0 + step)))
-        customer.heard, customer.news_at = True, self.now
-        use = max(0.0, used * customer.plan.rate - customer.sent)
-        customer.others += 0.5 * (use - customer.others) * self.metered
+        step = min(PASS_GAIN, (self.now - customer.others_at) / PASS_MS) * (1.0 - used) / max(1.0, used)
+        customer.admit_share = max(PASS_MIN, min(1.0, customer.admit_share * (1.0 + step)))
+        customer.use_known, customer.others_at = True, self.now
+        use = max(0.0, used * customer.plan.rate - customer.sent_rate)
+        customer.others_rate += 0.5 * (use - customer.others_rate) * self.metered
 
-    def ask_counter(self, job: Job) -> bool:
+    def ask_counter(self, job: InFlightRequest) -> bool:
         """Hold a request while the counter tells what all asked for; crowded, it hears a share for all."""
         customer, late = job.customer, job.deadline - self.now < 2.0 * self.settings.counter_wait_ms
         asked = self.counter or (self.many and self.settings.counter and not customer.plan.max_open)
-        if asked and self.many and customer.level_now(self.now) < job.units:  # others only took from it since
-            job.verdict, asked = False, False
+        if asked and self.many and customer.max_level(self.now) < job.units:  # others only took from it since
+            job.granted, asked = False, False
         if not asked or late or customer.plan.rate <= 0 or self.ask_share < self.random.random():
             return False
         if self.many and self.barred(job):  # what would have to be given back is lost to all until then
             return False
         name = customer.code << 8 | int(self.now / COUNT_MS) & 255
-        job.told = job.units / self.ask_share
-        amount, customer.unsaid = job.told + customer.unsaid, 0.0
+        job.counted = job.units / self.ask_share
+        amount, customer.correction = job.counted + customer.correction, 0.0
         self.call_counter(name, amount, job, None)
         return True
 
-    def call_counter(self, name: int, amount: float, job: Job, seen: float | None) -> None:
+    def call_counter(self, name: int, amount: float, job: InFlightRequest, seen: float | None) -> None:
         """Add to a name for a try, or to put right the total that was seen."""
-        self.called(name, (amount, job, self.now, seen))
+        self.add_call(name, (amount, job, self.now, seen))
         self.actions.append(api.CounterAdd(name, amount, COUNT_MS))
 
     def on_counterreply(self, event: api.CounterReply) -> None:
         """Book growth beyond our own call as the others', and what a quota bears of all that was asked."""
-        call = self.heard(event.name)
+        call = self.take_call(event.name)
         if call is None:
             return
         amount, job, asked, seen = call
@@ -220,47 +220,47 @@
             return
         customer = job.customer
         if event.ending is Ending.OK:
-            before = customer.total if customer.total_of == event.name else event.total
-            customer.total, customer.total_of, customer.heard = event.total, event.name, True
+            before = customer.counter_total if customer.total_name == event.name else event.total
+            customer.counter_total, customer.total_name, customer.use_known = event.total, event.name, True
             if self.counter:  # of many, peers tell of it: it must not count twice
                 self.others_used(customer, max(0.0, event.total - before - amount))
-            job.verdict, put_right = verdict(customer, asked, amount, job.told, job.units, event.total)
+            job.granted, put_right = verdict(customer, asked, amount, job.counted, job.units, event.total)
             if put_right and (self.many or self.ask_share >= 1.0) and not job.ended:
                 self.call_counter(event.name, put_right, job, event.total)
             else:
-                customer.unsaid += min(0.0, put_right)
-            was, percent = self.shares.get(customer.code, 100.0), max(1.0, 100.0 * customer.share)
+                customer.correction += min(0.0, put_right)
+            was, percent = self.admit_shares.get(customer.code, 100.0), max(1.0, 100.0 * customer.admit_share)
             if self.counter and self.settings.peers and max(was, percent) > TOLD_STEP * min(was, percent):
-                self.told[customer.code] = percent
-                self.remember(customer.code, percent, MOST_SHARES)
-            haste = ASK_HASTE if self.now - self.unheard_at > NEWS_MS else ASK_STEP
-            self.ask_share += min(1.0 - self.ask_share, haste * min(1.0, (self.now - self.asked_at) / 1000.0))
-            self.asked_at = self.now
-        elif asked > self.unheard_at:  # one crowd is one cut, however many calls it held up
-            self.ask_share, self.unheard_at = max(ASK_MIN, self.ask_share * ASK_CUT), self.now
+                self.unsent[customer.code] = percent
+                self.set_admit_share(customer.code, percent, MOST_SHARES)
+            haste = ASK_HASTE if self.now - self.no_reply_at > NEWS_MS else ASK_STEP
+            self.ask_share += min(1.0 - self.ask_share, haste * min(1.0, (self.now - self.reply_at) / 1000.0))
+            self.reply_at = self.now
+        elif asked > self.no_reply_at:  # one crowd is one cut, however many calls it held up
+            self.ask_share, self.no_reply_at = max(ASK_MIN, self.ask_share * ASK_CUT), self.now
         if job.ended:  # its client has left meanwhile
-            self.give_back(job)
+            self.refund(job)
         else:
             self.admit(job)
 
     def on_peermessage(self, event: api.PeerMessage) -> None:
         """Book a peer's use; where a counter measures, the share of demand that it found instead."""
-        self.peers_at = self.now
-        uses, opens = gossip.decode(event.content, event.sender, self.heard_sums)
+        self.peer_news_at = self.now
+        uses, opens = gossip.decode(event.content, event.sender, self.received_sums)
         for code, told in uses:
-            if code == gossip.AGE:
-                if self.dawn.heard(event.sender, told, self.now - self.started):
+            if code == gossip.AGE_CODE:
+                if self.dawn.receive(event.sender, told, self.now - self.started):
                     self.fill_stores()
-            elif code in self.codes and self.peers:
-                self.others_used(self.codes[code], told)
+            elif code in self.by_code and self.peers:
+                self.others_used(self.by_code[code], told)
             elif not self.peers:
-                self.remember(code, told, MOST_SHARES)
+                self.set_admit_share(code, told, MOST_SHARES)
             else:
-                self.strangers.setdefault(code, []).append((self.now, told))
+                self.unknown_use.setdefault(code, []).append((self.now, told))
         for code, out in opens:
-            if code in self.codes:
-                self.codes[code].elsewhere[event.sender] = out, self.now
-                self.release(self.codes[code])
+            if code in self.by_code:
+                self.by_code[code].peers_open[event.sender] = out, self.now
+                self.release(self.by_code[code])
 
     def fill_stores(self) -> None:
         """All began together: what was left out of each store, since others might have used it, is there."""
@@ -274,50 +274,50 @@
         """Pair each column's units with the interval's pressure, test, and start or lift the cut."""
         self.actions.append(api.SetTimer(INTERVAL_MS, 0))
         self.interval_due = self.now + INTERVAL_MS
-        lateness, bad = self.lateness / max(1.0, self.served), self.bad / max(MIN_ENDS, self.ends)
-        was, (late, failed) = self.pressed, RELIEVED if self.pressed else PRESSED
-        self.pressed = lateness > late or bad > failed
-        wait = statistics.median(self.waits or [0.0]) / SHED_WAIT - 1.0
-        self.slow = wait > 0.0
+        lateness, bad = self.delay_sum / max(1.0, self.served), self.overloads / max(MIN_ENDS, self.ends)
+        was, (late, failed) = self.overloaded, RELIEVED if self.overloaded else PRESSED
+        self.overloaded = lateness > late or bad > failed
+        wait = statistics.median(self.delays or [0.0]) / SHED_WAIT - 1.0
+        self.all_slow = wait > 0.0
         self.set_pace(wait)
-        for customer in self.columns.values():
+        for customer in self.tracked.values():
             self.refill(customer)
-            customer.pairs = [*customer.pairs[1 - WINDOW :], (customer.units, lateness + bad)]
-            tested = len(customer.pairs) >= MIN_INTERVALS and significant(customer.pairs, NORMAL_POINT)
-            customer.runs = customer.runs + 1 if tested else 0
-            beyond = customer.demand + customer.others > SPARED_USE * customer.plan.rate
-            if not self.pressed or customer.runs < FLAG_RUNS:
-                customer.cut_rate = 0.0
-            elif not customer.cut_rate and beyond:
-                customer.cut_rate = customer.demand * CUT_RATIO
-        if was != self.pressed:
-            self.actions.append(api.Note(f"pressed {self.pressed}: {lateness:.2f} late, {bad:.2f} bad"))
-        known = self.columns | self.asked
-        self.columns = {c.code: c for c in heapq.nlargest(COLUMNS, known.values(), key=lambda c: c.demand)}
+            customer.samples = [*customer.samples[1 - WINDOW :], (customer.interval_units, lateness + bad)]
+            tested = len(customer.samples) >= MIN_INTERVALS and significant(customer.samples, NORMAL_POINT)
+            customer.flags = customer.flags + 1 if tested else 0
+            beyond = customer.demand + customer.others_rate > SPARED_USE * customer.plan.rate
+            if not self.overloaded or customer.flags < FLAG_RUNS:
+                customer.throttle_rate = 0.0
+            elif not customer.throttle_rate and beyond:
+                customer.throttle_rate = customer.demand * CUT_RATIO
+        if was != self.overloaded:
+            self.actions.append(api.Note(f"pressed {self.overloaded}: {lateness:.2f} late, {bad:.2f} bad"))
+        known = self.tracked | self.active
+        self.tracked = {c.code: c for c in heapq.nlargest(COLUMNS, known.values(), key=lambda c: c.demand)}
         for code, customer in known.items():
-            customer.units = 0.0
-            if code not in self.columns:
-                customer.leave_column()
-        warm = sum(link.cold_since is None and self.now >= link.ejected_until for link in self.ready)
+            customer.interval_units = 0.0
+            if code not in self.tracked:
+                customer.stop_tracking()
+        warm = sum(link.cold_since is None and self.now >= link.ejected_until for link in self.healthy)
         self.warm_rate += 0.2 * (self.warm_sends / max(1, warm) - self.warm_rate) * (warm > 0)
-        self.lateness = self.served = self.bad = self.ends = self.warm_sends = 0.0
-        self.asked = {}
-        self.forget(self.now - KEEP_MS)
+        self.delay_sum = self.served = self.overloads = self.ends = self.warm_sends = 0.0
+        self.active = {}
+        self.drop_idle(self.now - KEEP_MS)
 
     def set_pace(self, wait: float) -> None:
         """Bound what is let in by a rate of our own for all servers: tries may multiply, servers do not.
 
         Also against floods, failed-over traffic, replayed backlogs. It hurts where true demand doubles.
         """
-        self.passed += (PASSED_GAIN if self.passed else 1.0) * (self.passes - self.passed)
-        if self.slow and self.ends:
+        self.avg_admitted += (PASSED_GAIN if self.avg_admitted else 1.0) * (self.admitted - self.avg_admitted)
+        if self.all_slow and self.ends:
             cut = PACE_CUT * min(1.0, wait) * min(1.0, self.ends / FULL_CUT_ENDS)  # few answers are old news
-            self.pace = min(self.pace, 1.0 + self.passed) * (1.0 - cut)
-        elif not self.slow:
-            self.pace *= 1.0 + PACE_STEP - PACE_HASTE * min(0.0, wait)
-        most = max(self.first_pace, PACE_SLACK * (1.0 + self.passed))
-        self.pace = max(PACE_MIN, min(most, self.pace))
-        self.passes, self.waits = 0.0, self.waits[len(self.waits) // 3 :]  # old news fades
+            self.rate = min(self.rate, 1.0 + self.avg_admitted) * (1.0 - cut)
+        elif not self.all_slow:
+            self.rate *= 1.0 + PACE_STEP - PACE_HASTE * min(0.0, wait)
+        most = max(self.initial_rate, PACE_SLACK * (1.0 + self.avg_admitted))
+        self.rate = max(PACE_MIN, min(most, self.rate))
+        self.admitted, self.delays = 0.0, self.delays[len(self.delays) // 3 :]  # old news fades
 
     # Servers and health
 
@@ -327,45 +327,47 @@
             self.actions.append(api.SetTimer(INTERVAL_MS, 2))
         elif event.kind in ("full", "cached"):
             named = {server.address for server in event.servers}
-            self.links = {address: link for address, link in self.links.items() if address in named}
+            self.servers = {address: link for address, link in self.servers.items() if address in named}
         for server in event.servers:
-            link = self.links.get(server.address)
+            link = self.servers.get(server.address)
             if link is None or server.since_ms > link.server.since_ms:
-                link = Link(server, self.first_limit, first_turn(server.address, self.settings), self.now)
-                self.links[server.address] = link
+                link = ServerState(
+                    server, self.first_limit, first_turn(server.address, self.settings), self.now
+                )
+                self.servers[server.address] = link
             link.server = server
             if server.since_ms and self.now - server.since_ms < self.settings.cold_ms:
                 link.cold_since = max(link.cold_since or 0.0, server.since_ms)
             if server.phase == "deregistered":
-                del self.links[server.address]
-        self.ready = [link for link in self.links.values() if link.server.phase == "healthy"]
-        self.first_pace = max(PACE_MIN, LIMIT_START * len(self.ready) / self.settings.gateways)
-        if not self.passed:  # nothing known: as many a second as may be out at first
-            self.pace = self.first_pace
+                del self.servers[server.address]
+        self.healthy = [link for link in self.servers.values() if link.server.phase == "healthy"]
+        self.initial_rate = max(PACE_MIN, LIMIT_START * len(self.healthy) / self.settings.gateways)
+        if not self.avg_admitted:  # nothing known: as many a second as may be out at first
+            self.rate = self.initial_rate
 
-    def pick(self, job: Job) -> Link | None:
+    def pick(self, job: InFlightRequest) -> ServerState | None:
         """Pick a server, in the first of the request's pools that has one with room."""
-        if not job.event.pools:
-            return self.least(job, self.ready)
-        ways = ([link for link in self.ready if link.server.pool == pool] for pool in job.event.pools)
+        if not job.arrival.pools:
+            return self.least(job, self.healthy)
+        ways = ([link for link in self.healthy if link.server.pool == pool] for pool in job.arrival.pools)
         return next(filter(None, (self.least(job, way) for way in ways)), None)
 
-    def least(self, job: Job, ready: list[Link]) -> Link | None:
+    def least(self, job: InFlightRequest, ready: list[ServerState]) -> ServerState | None:
         """Pick the least expected wait among servers with room, by work out and measured slowness."""
         best, least = None, math.inf
         for link in self.random.sample(ready, min(SAMPLE, len(ready))):
             ramp = cold_room(link, self.now, self.settings, self.warm_rate)
-            quiet = link.out > 0 and link.heard < self.now - QUIET_WAIT * job.kind.aim_ms < link.sent
-            used = any(attempt.link is link for attempt in job.attempts)
-            shut = link.out >= max(1.0, link.limit * ramp) or self.now < link.ejected_until
+            quiet = link.open > 0 and link.answer_at < self.now - QUIET_WAIT * job.kind.aim_ms < link.sent
+            used = any(attempt.target is link for attempt in job.attempts)
+            shut = link.open >= max(1.0, link.limit * ramp) or self.now < link.ejected_until
             if not ramp or quiet or used or shut or not self.allowed(job, link.server):
                 continue
-            slowness = faded(link.slowness, 1.0, (self.now - link.measured) / FORGIVE_MS)
-            rest = self.crowd * (link.cold_since is None)  # old news of it tells less than all do
-            others = faded(link.others, rest, (self.now - link.reported) / REPORT_MS)
-            cost = (link.out + others + 1.0) * slowness / max(0.01, link.server.weight)
+            slowness = decay(link.slowness, 1.0, (self.now - link.measured_at) / FORGIVE_MS)
+            rest = self.mean_load * (link.cold_since is None)  # old news of it tells less than all do
+            others = decay(link.other_load, rest, (self.now - link.reported_at) / REPORT_MS)
+            cost = (link.open + others + 1.0) * slowness / max(0.01, link.server.weight)
             good, at = link.health.get(job.index, (1.0, -math.inf))  # the chance that it answers this class
-            cost /= max(TRUST_MIN, faded(good, 1.0 - self.faults[job.index], (self.now - at) / TRUST_MS)) ** 2
+            cost /= max(TRUST_MIN, decay(good, 1.0 - self.faults[job.index], (self.now - at) / TRUST_MS)) ** 2
             crossing = CROSSING * self.settings.cross_zone_price * (link.server.zone != self.settings.zone)
             opening = OPENING * self.settings.handshake_price * (not link.sent)  # most likely not connected
             cost *= 1.0 + crossing + opening + JITTER * self.random.random()
@@ -373,31 +375,31 @@
                 best, least = link, cost
         return best
 
-    def note_health(self, link: Link, job: Job, good: bool) -> None:
+    def note_health(self, link: ServerState, job: InFlightRequest, good: bool) -> None:
         """Remember how a server did for a class, and how the class does everywhere."""
-        if good or not self.slow:  # all slow is overload: crowding the few that were quick makes it worse
+        if good or not self.all_slow:  # all slow is overload: crowding the few that were quick makes it worse
             link.health[job.index] = (0.5 * (link.health.get(job.index, (1.0, 0.0))[0] + good), self.now)
             self.faults[job.index] += FAULT_GAIN * ((not good) - self.faults[job.index])
 
-    def judge(self, link: Link, event: api.Outcome, job: Job) -> None:
+    def judge(self, link: ServerState, event: api.Outcome, job: InFlightRequest) -> None:
         """Learn from how an attempt ended: latency, concurrency limit, outlier ejection."""
         ending, lateness = event.ending, event.latency_ms / job.kind.aim_ms
         self.ends += ending not in (Ending.MOOT, Ending.CANCELLED)
-        self.bad += ending in (Ending.FULL, Ending.TIMEOUT)
+        self.overloads += ending in (Ending.FULL, Ending.TIMEOUT)
         ratio = event.latency_ms / max(1e-3, self.expected(job))
         telling = ending is Ending.OK or (ending is Ending.TIMEOUT and ratio > 1.0)  # not a short time-out
-        if telling and self.stalled < self.now:
+        if telling and self.stall_at < self.now:
             self.latency[job.kind] *= 1.0 + FLEET_GAIN * (ratio - 1.0)
             link.slowness += LATENCY_GAIN * (min(ratio, 10.0) - link.slowness)
-            link.wait += LATENCY_GAIN * (lateness - link.wait)
+            link.delay += LATENCY_GAIN * (lateness - link.delay)
             if not job.overdue and link.cold_since is None:  # slow start is no overload
-                self.waits = [*self.waits[1 - WAITS :], lateness]
-            link.measured, served = self.now, ending is Ending.OK
-            self.served, self.lateness = self.served + served, self.lateness + lateness * served
-            if link.wait < CALM_WAIT and link.out + 1.0 > 0.5 * link.limit:  # only a limit in use is tested
+                self.delays = [*self.delays[1 - WAITS :], lateness]
+            link.measured_at, served = self.now, ending is Ending.OK
+            self.served, self.delay_sum = self.served + served, self.delay_sum + lateness * served
+            if link.delay < CALM_WAIT and link.open + 1.0 > 0.5 * link.limit:  # only a limit in use is tested
                 link.limit = min(LIMIT_MAX, link.limit + 1.0 / link.limit)
-        if (link.wait > FULL_WAIT or ending is Ending.FULL) and self.now - link.limit_cut > LIMIT_CUT_MS:
-            link.limit, link.limit_cut = max(LIMIT_MIN, link.limit * LIMIT_CUT), self.now
+        if (link.delay > FULL_WAIT or ending is Ending.FULL) and self.now - link.limit_cut_at > LIMIT_CUT_MS:
+            link.limit, link.limit_cut_at = max(LIMIT_MIN, link.limit * LIMIT_CUT), self.now
         if ending in (Ending.OK, Ending.FULL):
             if link.down_at:  # back from the dead: cold, though the list may not say so yet
                 link.cold_since = max(link.cold_since or 0.0, link.down_at)
@@ -413,77 +415,77 @@
         if telling or ending in (Ending.ERROR, Ending.RESET):
             self.note_health(link, job, ending is Ending.OK)
         if "rif" in event.report:
-            link.others, link.reported = max(0.0, event.report["rif"] - link.out), self.now
-            self.crowd += FLEET_GAIN * (link.others - self.crowd)
+            link.other_load, link.reported_at = max(0.0, event.report["rif"] - link.open), self.now
+            self.mean_load += FLEET_GAIN * (link.other_load - self.mean_load)
 
     # Attempts
 
-    def send(self, job: Job, link: Link) -> None:
+    def send(self, job: InFlightRequest, link: ServerState) -> None:
         """Start an attempt that ends when its answer is worth nothing more; see to its being overdue."""
-        job.start(link, self.now)
+        job.start_attempt(link, self.now)
         trusted = link.health.get(job.index, (1.0, 0.0))[0] >= TRUSTED  # not who fails
-        self.out, self.warm_sends = self.out + 1.0, self.warm_sends + (link.cold_since is None and trusted)
-        self.actions.append(job.last_send(self.now, WINDOW_MARGIN))
+        self.open, self.warm_sends = self.open + 1.0, self.warm_sends + (link.cold_since is None and trusted)
+        self.actions.append(job.send_action(self.now, WINDOW_MARGIN))
         if len(job.attempts) == 1:
             wait = max(OVERDUE_MIN * job.kind.aim_ms, OVERDUE * self.expected(job))
             self.actions.append(api.SetTimer(min(OVERDUE_MAX * job.kind.aim_ms, wait), job.id + FIRST_TOKEN))
 
-    def hopeless(self, job: Job) -> bool:
+    def hopeless(self, job: InFlightRequest) -> bool:
         """Tell whether too little time is left for an answer of worth, or for an attempt to end in order."""
         return self.now + max(LEAST_MS, 0.5 * self.expected(job)) > job.useful_until
 
-    def expected(self, job: Job) -> float:
+    def expected(self, job: InFlightRequest) -> float:
         """Give the ms that this request should take on an ordinary server."""
         return self.latency[job.kind] * max(0.1, job.units)
 
-    def again(self, job: Job, price: float) -> bool:
+    def again(self, job: InFlightRequest, price: float) -> bool:
         """Send another attempt, if rules, retry budget and the time left allow."""
         if len(job.attempts) >= self.settings.max_attempts or self.hopeless(job):
             return False
-        link = self.pick(job) if self.retries >= price else None
+        link = self.pick(job) if self.retry_budget >= price else None
         if link is not None:
-            self.retries -= price
+            self.retry_budget -= price
             self.send(job, link)
         return link is not None
 
     # Rule guards
 
-    def allowed(self, job: Job, server: api.Server) -> bool:
+    def allowed(self, job: InFlightRequest, server: api.Server) -> bool:
         """Effects: what may have run goes out again only if repeatable, or keyed, in its group and window."""
-        kind, first, late = job.kind, job.ran_server, job.repeat_by(WINDOW_MARGIN)
+        kind, first, late = job.kind, job.first_run_server, job.repeat_deadline(WINDOW_MARGIN)
         if kind.effect is Effect.REPEATABLE or job.never_ran:
             return True
         if kind.effect is Effect.ONCE or first is None or self.now > late:
             return False
         return kind.group == "all" or getattr(server, kind.group) == getattr(first, kind.group)
 
-    def finish(self, job: Job) -> None:
+    def finish(self, job: InFlightRequest) -> None:
         """Give the one final answer: a refusal promises that a retry is harmless, a failure nothing."""
         keyed = job.kind.effect is Effect.KEYED and job.kind.group == "all"
         harmless = job.kind.effect is Effect.REPEATABLE or keyed or job.never_ran
         refusal = api.Refuse(job.id, min(self.advice(job), self.settings.max_retry_after_ms), job.cause)
         self.actions.append(refusal if harmless else api.Fail(job.id))
-        self.end(job.event)
+        self.end(job.arrival)
 
-    def advice(self, job: Job) -> float:
+    def advice(self, job: InFlightRequest) -> float:
         """Say when to come back: soon where only the cap on attempts out was in the way, else late."""
-        if job.cause == "open" and not self.pressed:
+        if job.cause == "open" and not self.overloaded:
             return max(BACK_MS, statistics.fmean(self.latency.values()))
         return math.inf
 
     def end(self, event: api.Event) -> None:
         """Owe nothing more; call off copies still out, and forget the request with the last of them."""
-        job = self.jobs.get(getattr(event, "request", -1))
+        job = self.in_flight.get(getattr(event, "request", -1))
         if job is None:
             return
         streaming = event.attempt if isinstance(event, api.StreamStarted) else -1
         for index, attempt in enumerate(job.attempts):
-            if attempt.out and index != streaming and self.settings.cancel and not job.ended:
+            if attempt.open and index != streaming and self.settings.cancel and not job.ended:
                 self.actions.append(api.Cancel(job.id, index))
         job.ended = True
-        if not job.waiting:
-            del self.jobs[job.id]
-            self.give_back(job)
+        if not job.has_open:
+            del self.in_flight[job.id]
+            self.refund(job)
 
     # Events
 
@@ -499,49 +501,51 @@
         if customer is None:
             code = zlib.crc32(event.customer.encode())
             customer = Customer(plan, event.set_size, code, self.now, self.now - NEWS_MS, event.set_first)
-            told = self.shares.get(code, 100.0) / 100.0
-            customer.share = told if self.counter or self.metered else customer.even
+            told = self.admit_shares.get(code, 100.0) / 100.0
+            customer.admit_share = told if self.counter or self.metered else customer.even
             if self.peers:  # the store less what was told of it, where peers were heard for a while
-                heard = self.dawn.known or self.now - self.started > NEWS_MS
-                heard = heard and self.now - self.peers_at < NEWS_MS
-                used = self.strangers.pop(code, [])
+                heard = self.dawn.confirmed or self.now - self.started > NEWS_MS
+                heard = heard and self.now - self.peer_news_at < NEWS_MS
+                used = self.unknown_use.pop(code, [])
                 # Of many, a slice is under one request: it would give nobody any until news comes.
-                left = left_of(plan, used, self.now) if heard or self.many else 0.0
-                customer.shared = max(plan.burst * customer.even, left)
+                left = replay(plan, used, self.now) if heard or self.many else 0.0
+                customer.shared_bucket = max(plan.burst * customer.even, left)
             customer.cap = customer.even * plan.ceiling_rate * min(KEEP_MS, self.now - self.started) / 1000.0
-            customer.owned = self.owner.account(customer, self.now) if self.owner else None
-            self.customers[event.customer] = self.codes[code] = customer
+            customer.owned_quota = self.quota_owner.account(customer, self.now) if self.quota_owner else None
+            self.customers[event.customer] = self.by_code[code] = customer
         self.refill(customer)
-        if not self.timed(customer) or self.now - customer.seen > RATE_MS:  # too seldom for rates
+        if not self.timed(customer) or self.now - customer.seen_at > RATE_MS:  # too seldom for rates
             most = max(event.units, plan.burst * customer.even)
-            customer.bucket = min(most, customer.bucket + customer.share * event.units)
-        customer.ask(self.now, event.units, event.units * 1000.0 / RATE_MS)
-        self.asked[customer.code] = customer
+            customer.bucket = min(most, customer.bucket + customer.admit_share * event.units)
+        customer.record_demand(self.now, event.units, event.units * 1000.0 / RATE_MS)
+        self.active[customer.code] = customer
         kind = self.settings.classes[event.request_class]
         useful = AIM_MARGIN * kind.aim_ms if kind.late_worth <= 0 else event.left_ms
-        job = self.jobs[event.request] = Job(event, kind, customer, self.now, min(event.left_ms, useful))
+        job = self.in_flight[event.request] = InFlightRequest(
+            event, kind, customer, self.now, min(event.left_ms, useful)
+        )
         if not self.ask_counter(job):
             self.admit(job)
 
-    def barred(self, job: Job) -> str:
+    def barred(self, job: InFlightRequest) -> str:
         """Say whether ceiling, cut, time or pace refuse a request, whatever its quota holds."""
         customer, units = job.customer, job.units
         self.refill(customer)
         refused = "ceiling" if customer.plan.ceiling_rate > 0 and customer.cap < units else ""
-        refused = refused or "cut" * (customer.cut_rate > 0 and customer.cut_store < units)
+        refused = refused or "cut" * (customer.throttle_rate > 0 and customer.throttle_bucket < units)
         refused = refused or "time" * self.hopeless(job)
-        known = job.verdict or (customer.share > KNOWN and customer.heard)
+        known = job.granted or (customer.admit_share > KNOWN and customer.use_known)
         if self.first_limit <= LIMIT_MIN:  # no limit of a server is left to fall
-            fill = self.pace * (self.now - self.paced_at) / 1000.0
-            self.room_store, self.paced_at = min(2.0 + 0.5 * self.pace, self.room_store + fill), self.now
-            most = 1.0 + self.pace * PACE_OUT * job.kind.aim_ms / 1000.0  # Little's law: before answers tell
-            refused = refused or "pace" * (self.room_store < (1.0 if known else DOUBT) or self.out >= most)
+            fill = self.rate * (self.now - self.filled_at) / 1000.0
+            self.admit_tokens, self.filled_at = min(2.0 + 0.5 * self.rate, self.admit_tokens + fill), self.now
+            most = 1.0 + self.rate * PACE_OUT * job.kind.aim_ms / 1000.0  # Little's law: before answers tell
+            refused = refused or "pace" * (self.admit_tokens < (1.0 if known else DOUBT) or self.open >= most)
         return refused
 
-    def admit(self, job: Job) -> None:
+    def admit(self, job: InFlightRequest) -> None:
         """What bars it, then its quota, then a server with room; else refuse at once."""
         customer, units, job.cause = job.customer, job.units, self.barred(job)
-        job.cause = job.cause or "quota" * (not self.within_quota(customer, units, job.verdict))
+        job.cause = job.cause or "quota" * (not self.within_quota(customer, units, job.granted))
         job.cause = job.cause or "open" * (customer.plan.max_open > 0 and self.crowded(customer))
         if job.cause == "open" and self.held.take(job, self.now, self.expected(job)):
             if not self.held.due:
@@ -552,11 +556,11 @@
         if link is None:
             self.finish(job)
             return
-        self.room_store, self.passes = self.room_store - 1.0, self.passes + 1.0
-        job.draw(units * 1000.0 / RATE_MS)
+        self.admit_tokens, self.admitted = self.admit_tokens - 1.0, self.admitted + 1.0
+        job.take_tokens(units * 1000.0 / RATE_MS)
         if self.peers:
-            self.told[customer.code] = self.told.get(customer.code, 0.0) + units
-        self.retries = min(RETRY_CAP, self.retries + RETRY_SHARE)
+            self.unsent[customer.code] = self.unsent.get(customer.code, 0.0) + units
+        self.retry_budget = min(RETRY_CAP, self.retry_budget + RETRY_SHARE)
         self.send(job, link)
         self.tell_open(customer)
 
@@ -567,46 +571,46 @@
 
     def on_outcome(self, event: api.Outcome) -> None:
         """Book the attempt, learn from it, and answer or try again where the answer is still owed."""
-        job = self.jobs.get(event.request)
-        if job is None or event.attempt >= len(job.attempts) or not job.attempts[event.attempt].out:
+        job = self.in_flight.get(event.request)
+        if job is None or event.attempt >= len(job.attempts) or not job.attempts[event.attempt].open:
             return
         attempt, customer = job.attempts[event.attempt], job.customer
-        ran = job.settle(attempt, self.now, event.ending)
+        ran = job.finish_attempt(attempt, self.now, event.ending)
         cost = price(event, ran, self.expected(job))
-        self.out -= 1.0
-        self.judge(attempt.link, event, job)
-        if event.used is not None and self.now - customer.news_at > self.settings.meter_ms / 2:
+        self.open -= 1.0
+        self.judge(attempt.target, event, job)
+        if event.used is not None and self.now - customer.others_at > self.settings.meter_ms / 2:
             self.metered_use(customer, event.used)
         if event.actual_units is not None and self.settings.cost_after:
-            customer.draw(event.actual_units - job.units, event.actual_units - job.units)
+            customer.take_tokens(event.actual_units - job.units, event.actual_units - job.units)
         if job.ended or event.finished:
             self.end(event)
-        elif not job.waiting and not self.again(job, cost):
+        elif not job.has_open and not self.again(job, cost):
             self.finish(job)
         self.release(customer)
         self.tell_open(customer)
 
     def on_alarm(self, event: api.Alarm) -> None:
         """Timers: the interval, the tick to peers, following the list, and hedges by request."""
-        job = self.jobs.get(event.token - FIRST_TOKEN)
+        job = self.in_flight.get(event.token - FIRST_TOKEN)
         if event.token == 0:
             self.close_interval()
         elif event.token == 1:
             self.actions.append(api.SetTimer(self.tell_gap * (0.5 + self.random.random()), 1))  # not in step
-            self.opened = self.outs | self.opened
-            self.told |= self.dawn.word(self.now - self.started)
-            if (self.told or self.opened) and self.now - self.told_at >= self.open_gap:
+            self.unsent_open = self.open_counts | self.unsent_open
+            self.unsent |= self.dawn.age_entry(self.now - self.started)
+            if (self.unsent or self.unsent_open) and self.now - self.broadcast_at >= self.open_gap:
                 self.tell_peers()
         elif event.token == 3:
-            self.tell_due = False
-            if self.opened:
+            self.broadcast_due = False
+            if self.unsent_open:
                 self.tell_peers()
         elif event.token == 4:
             self.release(None)
         elif event.token == 2:
             self.actions.append(api.Subscribe())
-        elif job is not None and not job.ended and len(job.attempts) == 1 and self.stalled < self.now:
+        elif job is not None and not job.ended and len(job.attempts) == 1 and self.stall_at < self.now:
             job.overdue, lateness = True, (self.now - job.attempts[0].sent) / job.kind.aim_ms
-            if job.attempts[0].link.cold_since is None:
-                self.waits = [*self.waits[1 - WAITS :], lateness]  # it takes at least so long
-            self.note_health(job.attempts[0].link, job, False)  # overdue; a copy would only add to the load
+            if job.attempts[0].target.cold_since is None:
+                self.delays = [*self.delays[1 - WAITS :], lateness]  # it takes at least so long
+            self.note_health(job.attempts[0].target, job, False)  # overdue; a copy would only add to the load
--- a/petrelhall/decide/slowstart.py
+++ b/petrelhall/decide/slowstart.py
@@ -6,7 +6,7 @@
 import zlib
 
 from petrelhall.decide.interface import Settings
-from petrelhall.decide.state import Link
+from petrelhall.decide.state import ServerState
 
 COLD_PART = 0.64  # of the work that pushes a cold server over: a warm one's work, times it, is its share
 # Attempts of all gateways that may be kept unmade: 1, a part of the R that may be made in the time of a fall, and of
@@ -15,7 +15,7 @@
 COLD_FLOOR = 0.5  # requests/s to a cold server from all gateways while no warm rate is known
 
 
-def cold_room(link: Link, now: float, settings: Settings, warm_rate: float) -> float:
+def cold_room(link: ServerState, now: float, settings: Settings, warm_rate: float) -> float:
     """Slow start: the share of a warm server's work that this one can do, 0 once it had that.
 
     ``warm_rate`` is what this gateway sends to a warm server, in attempts a second.
@@ -31,7 +31,7 @@
     ramp = settings.cold_from + (1.0 - settings.cold_from) * max(0.0, age)
     share = ramp * max(1.0, COLD_PART * settings.overload_factor)
     rate = share * max(COLD_FLOOR / settings.gateways, warm_rate) / 1000.0
-    store = link.cold_store + rate * (now - link.cold_filled)
+    store = link.cold_tokens + rate * (now - link.cold_tokens_at)
     made = rate * settings.gateways * settings.fall_ms
     turn = (1.0 + KEPT_PART * made + KEPT_ROOT * math.sqrt(made)) / settings.gateways
     if turn >= 1.0:
@@ -39,7 +39,7 @@
     elif store >= 1.0 + turn:  # turns have passed unused
         store %= 1.0
         store += store < turn
-    link.cold_store, link.cold_filled = store, now
+    link.cold_tokens, link.cold_tokens_at = store, now
     return ramp if store >= 1.0 else 0.0
 
 
--- a/petrelhall/decide/snapshot.py
+++ b/petrelhall/decide/snapshot.py
@@ -11,61 +11,61 @@
 from typing import Any
 
 from petrelhall.decide.interface import Plan, Settings
-from petrelhall.decide.state import Customer, Link, Memory
+from petrelhall.decide.state import Customer, GatewayState, ServerState
 
-FORM = 1
-MOST_CUSTOMERS = 4000  # those seen last: the others are new again when they come
-CUSTOMER = (
+FORMAT_VERSION = 1
+MAX_CUSTOMERS = 4000  # those seen last: the others are new again when they come
+CUSTOMER_FIELDS = (
     "set_size",
     "set_first",
-    "seen",
-    "news_at",
-    "filled",
+    "seen_at",
+    "others_at",
+    "filled_at",
     "bucket",
-    "shared",
-    "spilled",
-    "share",
+    "shared_bucket",
+    "overflow",
+    "admit_share",
     "cap",
     "demand",
-    "sent",
-    "others",
-    "total",
-    "level",
-    "level_at",
-    "cut_rate",
-    "cut_store",
+    "sent_rate",
+    "others_rate",
+    "counter_total",
+    "counter_level",
+    "counter_level_at",
+    "throttle_rate",
+    "throttle_bucket",
 )
-LINK = (
+SERVER_FIELDS = (
     "limit",
-    "cold_store",
-    "cold_filled",
-    "limit_cut",
-    "others",
-    "reported",
+    "cold_tokens",
+    "cold_tokens_at",
+    "limit_cut_at",
+    "other_load",
+    "reported_at",
     "slowness",
-    "wait",
-    "measured",
+    "delay",
+    "measured_at",
     "sent",
-    "heard",
+    "answer_at",
     "ejected_until",
     "down_at",
     "cold_since",
 )
-MEMORY = (
+GATEWAY_FIELDS = (
     "started",
-    "peers_at",
+    "peer_news_at",
     "ask_share",
-    "asked_at",
-    "unheard_at",
+    "reply_at",
+    "no_reply_at",
     "warm_rate",
-    "crowd",
-    "retries",
-    "pace",
-    "room_store",
-    "paced_at",
-    "passed",
+    "mean_load",
+    "retry_budget",
+    "rate",
+    "admit_tokens",
+    "filled_at",
+    "avg_admitted",
 )
-WHOLE = {"set_size", "set_first"}
+INTEGER_FIELDS = {"set_size", "set_first"}
 
 
 class SnapshotError(ValueError):
@@ -78,115 +78,120 @@
 
 
 def take(
-    memory: Memory, settings: Settings, latency: list[float], faults: list[float], served: tuple[Plan, ...] = ()
+    state: GatewayState, settings: Settings, latency: list[float], faults: list[float], served: tuple[Plan, ...] = ()
 ) -> dict[str, Any]:
     """Give all that the next process can use, at this moment; ``served``: the plans where others took their place."""
-    plans = {id(plan): number for number, plan in enumerate(served or settings.plans)}
-    known = sorted(memory.customers.items(), key=lambda named: named[1].seen)[-MOST_CUSTOMERS:]
+    plans = {id(plan): index for index, plan in enumerate(served or settings.plans)}
+    latest = sorted(state.customers.items(), key=lambda named: named[1].seen_at)[-MAX_CUSTOMERS:]
     return {
-        "form": FORM,
+        "form": FORMAT_VERSION,
         "settings": fingerprint(settings),
-        "at": memory.now,
-        "memory": fields(memory, MEMORY),
+        "at": state.now,
+        "memory": read_fields(state, GATEWAY_FIELDS),
         "latency": latency,
         "faults": faults,
-        "waits": memory.waits,
+        "waits": state.delays,
         "customers": {
             name: [
                 plans[id(customer.plan)],
-                *fields(customer, CUSTOMER),
-                customer.heard,
-                customer.total_of,
+                *read_fields(customer, CUSTOMER_FIELDS),
+                customer.use_known,
+                customer.total_name,
                 customer.open,
-                [[peer, out, at] for peer, (out, at) in customer.elsewhere.items()],
+                [[peer, count, at] for peer, (count, at) in customer.peers_open.items()],
             ]
-            for name, customer in known
+            for name, customer in latest
             if id(customer.plan) in plans
         },
-        "strangers": {str(code): [[at, units] for at, units in used] for code, used in memory.strangers.items()},
-        "shares": {str(code): percent for code, percent in memory.shares.items()},
+        "strangers": {str(code): [[at, units] for at, units in used] for code, used in state.unknown_use.items()},
+        "shares": {str(code): percent for code, percent in state.admit_shares.items()},
         "links": {
             address: [
-                *fields(link, LINK),
-                link.ejections,
-                [[kind, good, at] for kind, (good, at) in link.health.items()],
+                *read_fields(server, SERVER_FIELDS),
+                server.ejections,
+                [[class_index, good, at] for class_index, (good, at) in server.health.items()],
             ]
-            for address, link in memory.links.items()
+            for address, server in state.servers.items()
         },
     }
 
 
-def restore(memory: Memory, settings: Settings, data: Any, now: float) -> tuple[list[float], list[float]]:
+def restore(state: GatewayState, settings: Settings, data: Any, now: float) -> tuple[list[float], list[float]]:
     """Take a snapshot over (SnapshotError), and give latency and faults by class.
 
     Attempts that the other process has out count as those of a peer do: told now, and soon forgotten.
     """
     try:
-        if data["form"] != FORM or data["settings"] != fingerprint(settings):
+        if data["form"] != FORMAT_VERSION or data["settings"] != fingerprint(settings):
             raise SnapshotError("of another form, or made under other settings")
         customers = {
-            str(name): customer(settings, zlib.crc32(str(name).encode()), values, now)
+            str(name): parse_customer(settings, zlib.crc32(str(name).encode()), values, now)
             for name, values in data["customers"].items()
         }
-        plain = numbers(data["memory"], len(MEMORY))
-        latency, faults = (numbers(data[name], len(settings.classes)) for name in ("latency", "faults"))
-        waits = numbers(data["waits"], None)
-        strangers = {
-            int(code): [tuple(numbers(entry, 2)) for entry in used] for code, used in data["strangers"].items()
+        gateway_values = parse_numbers(data["memory"], len(GATEWAY_FIELDS))
+        latency, faults = (parse_numbers(data[name], len(settings.classes)) for name in ("latency", "faults"))
+        delays = parse_numbers(data["waits"], None)
+        unknown_use = {
+            int(code): [tuple(parse_numbers(entry, 2)) for entry in used] for code, used in data["strangers"].items()
         }
-        shares = {int(code): number(percent) for code, percent in data["shares"].items()}
-        links = {
-            address: read_link(memory.links[address], values)
+        admit_shares = {int(code): parse_number(percent) for code, percent in data["shares"].items()}
+        servers = {
+            address: parse_server(state.servers[address], values)
             for address, values in data["links"].items()
-            if address in memory.links
+            if address in state.servers
         }
     except SnapshotError:
         raise
     except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
         raise SnapshotError(f"not in the form: {error!r}") from None
-    memory.customers, memory.codes = customers, {known.code: known for known in customers.values()}
-    for known in customers.values():
-        known.owned = memory.owner.account(known, now) if memory.owner is not None else None
-    for name, value in zip(MEMORY, plain, strict=True):
-        setattr(memory, name, value)
-    memory.waits, memory.shares = waits, shares
-    memory.strangers = {code: [(at, units) for at, units in used] for code, used in strangers.items()}
-    for address, (values, ejections, health) in links.items():
-        link = memory.links[address]
-        for name, value in zip(LINK, values, strict=True):
-            setattr(link, name, None if name == "cold_since" and value == -math.inf else value)
-        link.ejections, link.health = ejections, health
+    state.customers, state.by_code = customers, {customer.code: customer for customer in customers.values()}
+    for customer in customers.values():
+        customer.owned_quota = state.quota_owner.account(customer, now) if state.quota_owner is not None else None
+    for name, value in zip(GATEWAY_FIELDS, gateway_values, strict=True):
+        setattr(state, name, value)
+    state.delays, state.admit_shares = delays, admit_shares
+    state.unknown_use = {code: [(at, units) for at, units in used] for code, used in unknown_use.items()}
+    for address, (values, ejections, health) in servers.items():
+        server = state.servers[address]
+        for name, value in zip(SERVER_FIELDS, values, strict=True):
+            setattr(server, name, None if name == "cold_since" and value == -math.inf else value)
+        server.ejections, server.health = ejections, health
     return latency, faults
 
 
-def customer(settings: Settings, code: int, values: Any, now: float) -> Customer:
+def parse_customer(settings: Settings, code: int, values: Any, now: float) -> Customer:
     """Read one customer."""
     plan = values[0]
-    heard, total_of, out, elsewhere = values[-4:]
+    use_known, total_name, open_attempts, peers_open = values[-4:]
     if not 0 <= plan < len(settings.plans):
         raise SnapshotError(f"no plan {plan}")
-    plain = dict(zip(CUSTOMER, numbers(values[1:-4], len(CUSTOMER)), strict=True))
-    read = Customer(
-        settings.plans[plan], int(plain["set_size"]), code, plain["seen"], plain["news_at"], int(plain["set_first"])
+    numbers = dict(zip(CUSTOMER_FIELDS, parse_numbers(values[1:-4], len(CUSTOMER_FIELDS)), strict=True))
+    customer = Customer(
+        settings.plans[plan],
+        int(numbers["set_size"]),
+        code,
+        numbers["seen_at"],
+        numbers["others_at"],
+        int(numbers["set_first"]),
     )
-    for name, value in plain.items():
-        if name not in WHOLE:
-            setattr(read, name, value)
-    read.heard, read.total_of = bool(heard), int(total_of)
-    read.elsewhere = {int(peer): (number(count), number(at)) for peer, count, at in elsewhere}
-    if out:
-        read.elsewhere[settings.position] = number(out), now
-    return read
+    for name, value in numbers.items():
+        if name not in INTEGER_FIELDS:
+            setattr(customer, name, value)
+    customer.use_known, customer.total_name = bool(use_known), int(total_name)
+    customer.peers_open = {int(peer): (parse_number(count), parse_number(at)) for peer, count, at in peers_open}
+    if open_attempts:
+        customer.peers_open[settings.position] = parse_number(open_attempts), now
+    return customer
 
 
-def read_link(link: Link, values: Any) -> tuple[list[float], int, dict[int, tuple[float, float]]]:
+def parse_server(server: ServerState, values: Any) -> tuple[list[float], int, dict[int, tuple[float, float]]]:
     """Read what was known of one server."""
-    plain = numbers(values[: len(LINK)], len(LINK))
-    ejections, health = values[len(LINK) :]
-    return plain, int(ejections), {int(kind): (number(good), number(at)) for kind, good, at in health}
+    numbers = parse_numbers(values[: len(SERVER_FIELDS)], len(SERVER_FIELDS))
+    ejections, health = values[len(SERVER_FIELDS) :]
+    return numbers, int(ejections), {int(index): (parse_number(good), parse_number(at)) for index, good, at in health}
 
 
-def fields(record: object, names: tuple[str, ...]) -> list[float | None]:
+def read_fields(record: object, names: tuple[str, ...]) -> list[float | None]:
     """Give some fields; what is infinite or not set is told as none."""
     values = (getattr(record, name) for name in names)
     return [
@@ -195,14 +200,14 @@
     ]
 
 
-def numbers(values: Any, count: int | None) -> list[float]:
+def parse_numbers(values: Any, count: int | None) -> list[float]:
     """Read a list of numbers; none stands for minus infinity."""
     if not isinstance(values, list) or (count is not None and len(values) != count):
         raise SnapshotError(f"a list of {count} numbers is wanted")
-    return [number(value) for value in values]
+    return [parse_number(value) for value in values]
 
 
-def number(value: Any) -> float:
+def parse_number(value: Any) -> float:
     """Read a number."""
     if value is None:
         return -math.inf
--- a/petrelhall/decide/waiting.py
+++ b/petrelhall/decide/waiting.py
@@ -7,28 +7,28 @@
 
 from __future__ import annotations
 
-from petrelhall.decide.state import Customer, Job
+from petrelhall.decide.state import Customer, InFlightRequest
 
 SHARE = 0.35  # of the aim, and of the client's patience, for which a request may wait: late answers earn little
 STEP_MS = 20.0  # between two looks, since news of peers also fades by itself
 
 
-class Held(dict[int, Job]):
+class Held(dict[int, InFlightRequest]):
     """Those that wait, by request, in the order in which they came."""
 
     due = False  # whether a look is timed
 
-    def take(self, job: Job, now: float, expected_ms: float) -> bool:
+    def take(self, job: InFlightRequest, now: float, expected_ms: float) -> bool:
         """Keep a request, if it may still wait and those before it leave a place that comes in time."""
-        wait = SHARE * min(job.kind.aim_ms, job.event.left_ms)
+        wait = SHARE * min(job.kind.aim_ms, job.arrival.left_ms)
         places = job.customer.plan.max_open * wait / max(1.0, expected_ms)
         before = sum(other.customer is job.customer for other in self.values())
-        if now >= job.taken + wait or job.attempts or before >= places:
+        if now >= job.accepted_at + wait or job.attempts or before >= places:
             return False
         self[job.id] = job
         return True
 
-    def leave(self, customer: Customer | None) -> list[Job]:
+    def leave(self, customer: Customer | None) -> list[InFlightRequest]:
         """Let go of those that wait for a customer's places, or of all, to be decided on anew."""
         self.due = self.due and customer is not None  # all are let go when the look is due
         jobs = [job for job in self.values() if customer is None or job.customer is customer]
--- a/petrelhall/gateway/program.py
+++ b/petrelhall/gateway/program.py
@@ -231,7 +231,7 @@
                 self.counts,
                 config.counter if config.settings.counter else None,
             )
-            self.module.owner = self.sharing
+            self.module.quota_owner = self.sharing
             if self.membership is not None:
                 self.sharing.ledger.reachable = self.membership.reachable
         if config.settings.counter and config.counter:
--- a/petrelhall/gateway/sharing.py
+++ b/petrelhall/gateway/sharing.py
@@ -94,7 +94,7 @@
         plan = customer.plan
         if self.platform.cost_after:
             return None
-        others = customer.others_of_set(self.platform.position, self.platform.gateways)
+        others = customer.other_gateways(self.platform.position, self.platform.gateways)
         if self.peers is None:
             others = ()
         size = max(1, min(customer.set_size, self.platform.gateways))
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -1023,12 +1023,12 @@
         module.handle(0.0, api.Started())
         module.handle(10.0, api.Arrival(1, 0, 0, "c", 1000.0, 1.0, 1))
         customer = module.customers["c"]
-        before, kept = self.settings.plans, customer.shared
+        before, kept = self.settings.plans, customer.shared_bucket
         for burst, left in ((30.0, 30.0), (90.0, 30.0)):
             after = (dataclasses.replace(before[0], burst=burst), before[1])
             replan(module, before, after, 20.0)
             before = after
-            self.assertEqual((customer.plan, min(customer.shared, kept)), (after[0], left))
+            self.assertEqual((customer.plan, min(customer.shared_bucket, kept)), (after[0], left))
         ceiled = (dataclasses.replace(before[0], ceiling_rate=100.0, ceiling_burst=100.0), before[1])
         replan(module, before, ceiled, 30.0)
         self.assertEqual(customer.cap, 0.0)  # a ceiling that was not there begins spent
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -54,10 +54,10 @@
         new.now = old.now + 20.0
         snapshot.restore(new.gateway, PEERS, told(old), new.now)
         before, after = old.gateway.customers["a"], new.gateway.customers["a"]
-        self.assertAlmostEqual(before.shared, after.shared)
+        self.assertAlmostEqual(before.shared_bucket, after.shared_bucket)
         self.assertAlmostEqual(before.bucket, after.bucket)
-        self.assertEqual(new.gateway.codes[after.code], after)
-        self.assertEqual(new.gateway.links["s1"].health, old.gateway.links["s1"].health)
+        self.assertEqual(new.gateway.by_code[after.code], after)
+        self.assertEqual(new.gateway.servers["s1"].health, old.gateway.servers["s1"].health)
         self.assertEqual(new.gateway.started, old.gateway.started)  # heard long enough to share a cap
         for _ in range(9):
             last = new.ask(spread=4)
@@ -91,7 +91,7 @@
             {**good, "customers": {"a": good["customers"]["a"][:5]}},
             {**good, "links": {"s0": ["x"]}},
             {**good, "waits": 3},
-            {**good, "memory": [True] * len(snapshot.MEMORY)},
+            {**good, "memory": [True] * len(snapshot.GATEWAY_FIELDS)},
         ]
         for data in cases:
             new = Door(PEERS)
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -382,8 +382,8 @@
 
         made.desk.tell.__self__.to_request = crossing
         self.turn_until(lambda: self.counts.get("answered", "client_left"))
-        self.assertEqual((module.jobs, module.out, module.links["s0"].out), ({}, 0.0, 0.0))
-        self.assertAlmostEqual(module.customers["00000000b4d65521"].shared, 1000.0, places=0)
+        self.assertEqual((module.in_flight, module.open, module.servers["s0"].open), ({}, 0.0, 0.0))
+        self.assertAlmostEqual(module.customers["00000000b4d65521"].shared_bucket, 1000.0, places=0)
 
 
 class Closing(Inside):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -38,7 +38,7 @@
 )
 from petrelhall.decide.policy import Gateway
 from petrelhall.decide.slowstart import COLD_PART, cold_room, first_turn
-from petrelhall.decide.state import Customer, Link, taken
+from petrelhall.decide.state import Customer, ServerState, spend
 
 SETTINGS = Settings(
     classes=(
@@ -67,11 +67,11 @@
     door = Door()
     for units, pressure in pairs:
         customer = door.gateway.customers.get("a") or door.known("a")
-        door.gateway.columns = {customer.code: customer}
-        customer.units = units
-        door.gateway.lateness, door.gateway.served = pressure, 1.0
+        door.gateway.tracked = {customer.code: customer}
+        customer.interval_units = units
+        door.gateway.delay_sum, door.gateway.served = pressure, 1.0
         door.feed(Alarm(0))
-    return customer.runs > 0
+    return customer.flags > 0
 
 
 class Door:
@@ -163,7 +163,7 @@
     door.feed(ClientGone(send.request))
     actions = door.answer(send, Ending.RESET)
     assert not sends(actions) and not finals(actions)
-    assert not door.gateway.jobs
+    assert not door.gateway.in_flight
 
 
 def test_deadline_timeout_is_answered() -> None:
@@ -211,7 +211,7 @@
     door.answer(send, Ending.CONNECT_FAILED)
     door.now += 5000
     door.serve(door.ask())
-    assert door.gateway.links["s0"].cold_since is not None
+    assert door.gateway.servers["s0"].cold_since is not None
 
 
 def test_one_reset_is_a_connections_end_and_several_in_a_row_leave_a_server_alone_but_not_cold() -> None:
@@ -223,7 +223,7 @@
     assert isinstance(door.ask(), Refuse)
     door.now += policy.EJECT_MS
     door.serve(door.ask())
-    assert door.gateway.links["s0"].cold_since is None
+    assert door.gateway.servers["s0"].cold_since is None
 
 
 def test_ceiling_holds_over_restarts() -> None:
@@ -352,7 +352,7 @@
     for _ in range(9):
         beyond = door.ask(plan=1, who="b")
     assert isinstance(beyond, Refuse) and beyond.retry_after_ms == 2000 and beyond.cause == "quota"
-    door.gateway.pressed = True
+    door.gateway.overloaded = True
     assert capped().retry_after_ms == 2000
 
 
@@ -373,10 +373,10 @@
 def test_an_error_that_comes_at_once_takes_little_of_the_retry_budget() -> None:
     for ending, ms, retries in ((Ending.ERROR, 2.0, 4), (Ending.ERROR, 400.0, 1), (Ending.FULL, 2.0, 1)):
         door = Door(replace(SETTINGS, gateways=1, max_attempts=2))
-        door.gateway.retries = 1.0
+        door.gateway.retry_budget = 1.0
         tried = 0
         for _ in range(6):
-            door.gateway.retries -= policy.RETRY_SHARE  # what the first attempt earns
+            door.gateway.retry_budget -= policy.RETRY_SHARE  # what the first attempt earns
             send = door.ask()
             assert isinstance(send, Send)
             again = sends(door.answer(send, ending, ms=ms, done=False))
@@ -399,24 +399,26 @@
 def test_a_cold_server_has_its_share_of_what_pushes_it_over_and_of_what_warm_ones_serve() -> None:
     """Half warm, it takes half of what a warm one serves, times what it bears: 0.64 of twice its capacity."""
     door = Door(servers=(Server("cold", since_ms=1e6 - 5000.0),))
-    link = door.gateway.links["cold"]
+    link = door.gateway.servers["cold"]
     cold_room(link, door.now, SETTINGS, 10.0)
-    link.cold_store = 0.0
+    link.cold_tokens = 0.0
     cold_room(link, door.now + 50.0, SETTINGS, 10.0)
     half = 0.2 + 0.8 * 5050.0 / 10000.0
-    assert link.cold_store == pytest.approx(COLD_PART * 2.0 * half * 10.0 * 0.05)
+    assert link.cold_tokens == pytest.approx(COLD_PART * 2.0 * half * 10.0 * 0.05)
 
 
 def test_what_a_lost_message_told_comes_with_the_next_and_another_count_is_not_taken_for_it() -> None:
     sums: dict[int, int] = {}
     heard: dict[tuple[int, int], int] = {}
-    words = [gossip.encode([(7, 2.5)], sums=sums) for _ in range(120)]  # the sum goes round
+    words = [gossip.encode([(7, 2.5)], sent_sums=sums) for _ in range(120)]  # the sum goes round
     uses = [gossip.decode(word, 1, heard)[0] for word in (words[0], words[2], *words[3:])]
     assert [units for use in uses for _, units in use] == [2.5, 5.0] + [2.5] * 117
     assert gossip.decode(words[0], 2, heard)[0] == [(7, 2.5)]  # of another peer
-    begun_anew = gossip.encode([(7, 1.0)], sums={})  # it has restarted: its sum is another
+    begun_anew = gossip.encode([(7, 1.0)], sent_sums={})  # it has restarted: its sum is another
     assert gossip.decode(begun_anew, 1, heard)[0] == [(7, 1.0)]
-    assert gossip.decode(gossip.encode([(gossip.AGE, 3.0)], sums=sums), 1, heard)[0] == [(gossip.AGE, 3.0)]
+    assert gossip.decode(gossip.encode([(gossip.AGE_CODE, 3.0)], sent_sums=sums), 1, heard)[0] == [
+        (gossip.AGE_CODE, 3.0)
+    ]
     for junk in (b"", b"\x03", b"\x03\xff", b"\x02\x00", words[0] + b"x", words[0][:-1]):
         assert gossip.decode(junk, 1, heard) == ([], [])
     full = gossip.pack({code: 1.0 for code in range(1, 90)}, {code: 1 for code in range(60)}, {})
@@ -439,7 +441,7 @@
         for peer, age in enumerate(ages):
             door.feed(PeerMessage(peer + 1, gossip.encode([(0, age)])))
         door.feed(Arrival(2, 0, 0, "b", 3000, 1, 4))
-        stores = [door.gateway.customers[who].shared for who in "ab"]
+        stores = [door.gateway.customers[who].shared_bucket for who in "ab"]
         assert stores == [pytest.approx(first), pytest.approx(second - 1.0)], ages
     there = Door(settings)
     there.now += 500.0
@@ -456,11 +458,11 @@
         door.now += policy.NEWS_MS + 1
         door.feed(PeerMessage(1, gossip.encode([(zlib.crc32(b"a"), used)])))
         door.ask(spread=4)
-        assert door.gateway.customers["a"].shared == pytest.approx(expected - 1.0)
-        assert not door.gateway.strangers
+        assert door.gateway.customers["a"].shared_bucket == pytest.approx(expected - 1.0)
+        assert not door.gateway.unknown_use
     door = Door(settings)
     door.ask(spread=4)  # just started: past messages are lost
-    assert door.gateway.customers["a"].shared == pytest.approx(1.0)
+    assert door.gateway.customers["a"].shared_bucket == pytest.approx(1.0)
 
 
 MANY = replace(SETTINGS, gateways=40, peers=True, peer_messages_per_s=100)
@@ -491,7 +493,7 @@
     gateway, code = door.gateway, zlib.crc32(b"a")
     gateway.actions.clear()
     for _ in range(9):
-        gateway.told[code] = 2.0
+        gateway.unsent[code] = 2.0
         gateway.tell_set(gateway.customers["a"])
     words = [a for a in gateway.actions if isinstance(a, Tell)]
     assert sum(len(word.to) for word in words) <= 75 < sum(len(word.to) for word in words) + 11  # a second's share
@@ -518,18 +520,18 @@
         door.feed(PeerMessage(sender, gossip.encode([], [(zlib.crc32(b"a"), 1)])))
     for wait, full in ((0.0, True), (1.9 * door.gateway.tell_gap, True), (0.2 * door.gateway.tell_gap, False)):
         door.now += wait
-        door.gateway.now = door.gateway.peers_at = door.now
+        door.gateway.now = door.gateway.peer_news_at = door.now
         assert door.gateway.crowded(customer) == full
 
 
 def test_a_gateway_that_has_seen_little_is_not_held_to_the_pace_of_what_it_let_in() -> None:
     door = Door(MANY, SIXTY)
-    first = door.gateway.pace
+    first = door.gateway.rate
     assert first == pytest.approx(policy.LIMIT_START * 60 / 40)
     for _ in range(3):
         door.now += 1000
         door.feed(Alarm(0))
-        assert door.gateway.pace == pytest.approx(first)
+        assert door.gateway.rate == pytest.approx(first)
 
 
 def test_a_server_not_heard_of_lately_is_held_to_be_as_busy_as_others_and_a_cold_one_idle() -> None:
@@ -537,9 +539,9 @@
         since = 1e6 if cold else 0.0
         door = Door(SETTINGS, (Server("heard"), Server("unheard", since_ms=since)))
         gateway = door.gateway
-        gateway.crowd, gateway.warm_rate = 8.0, 1000.0
-        heard, unheard = gateway.links["heard"], gateway.links["unheard"]
-        heard.others, heard.reported, unheard.cold_store = 4.0, door.now, 1.0
+        gateway.mean_load, gateway.warm_rate = 8.0, 1000.0
+        heard, unheard = gateway.servers["heard"], gateway.servers["unheard"]
+        heard.other_load, heard.reported_at, unheard.cold_tokens = 4.0, door.now, 1.0
         heard.sent = unheard.sent = 1.0
         picked = door.ask()
         assert isinstance(picked, Send)
@@ -553,7 +555,7 @@
     send = door.ask()
     assert isinstance(send, Send)
     door.feed(Outcome(send.request, 0, send.server, Ending.OK, 50, True, report={"rif": 11.0}))
-    assert door.gateway.crowd == pytest.approx(policy.FLEET_GAIN * 11.0)
+    assert door.gateway.mean_load == pytest.approx(policy.FLEET_GAIN * 11.0)
 
 
 def test_servers_that_drain_do_not_lower_the_pace_of_cold_ones() -> None:
@@ -567,10 +569,10 @@
 def test_a_connection_that_is_not_there_weighs_as_it_is_priced() -> None:
     for price, other in ((0.0, True), (0.08, False)):
         door = Door(replace(SETTINGS, handshake_price=price), SIXTY)
-        for link in door.gateway.links.values():
+        for link in door.gateway.servers.values():
             link.sent = float(link.server.address == "s0")
-        door.gateway.links["s0"].others, door.gateway.links["s0"].reported = 0.5, door.now
-        door.gateway.ready = [door.gateway.links["s0"], door.gateway.links["s1"]]
+        door.gateway.servers["s0"].other_load, door.gateway.servers["s0"].reported_at = 0.5, door.now
+        door.gateway.healthy = [door.gateway.servers["s0"], door.gateway.servers["s1"]]
         picked = door.ask()
         assert isinstance(picked, Send) and (picked.server == "s1") == other
 
@@ -579,19 +581,19 @@
     door = Door(replace(MANY, plans=(Plan(rate=100, burst=100, max_open=4),)), SIXTY)
     customer = door.known("a")
     door.gateway.now = door.now = door.now + 3500
-    door.gateway.peers_at = door.now
+    door.gateway.peer_news_at = door.now
     customer.open = 3
     for others, full in ((2.0, False), (5.0, True)):  # begun since the news: 6% and 14% of the time
-        customer.others = others
+        customer.others_rate = others
         assert door.gateway.crowded(customer) == full
 
 
 def test_demand_is_shed_from_a_median_of_two_fifths_of_the_aim() -> None:
     for wait, slow in ((0.3, False), (0.5, True)):
         door = Door()
-        door.gateway.waits = [wait] * 9
+        door.gateway.delays = [wait] * 9
         door.feed(Alarm(0))
-        assert door.gateway.slow == slow
+        assert door.gateway.all_slow == slow
 
 
 def test_of_many_gateways_one_that_started_trusts_what_it_knows_until_peers_should_have_spoken() -> None:
@@ -612,14 +614,14 @@
     door = Door(replace(MANY, counter=True, counter_wait_ms=80, plans=plans), SIXTY)
     held = door.feed(Arrival(1, 0, 0, "a", 3000, 1, 30))
     assert asked_of(held) == [1.0] and not sends(held)
-    door.gateway.customers["a"].others = 0.0
+    door.gateway.customers["a"].others_rate = 0.0
     name = next(a.name for a in held if isinstance(a, CounterAdd))
     assert sends(door.feed(CounterReply(name, Ending.OK, 1.0)))
     door.now += 10
     door.feed(Arrival(5, 0, 0, "a", 3000, 1, 30))
     assert sends(door.feed(CounterReply(name, Ending.OK, 3.0)))  # another's unit is in it
-    assert door.gateway.customers["a"].others == 0.0  # peers tell of it: not to be counted twice
-    assert sends(door.feed(Arrival(2, 0, 1, "b", 3000, 1, 10))) and not door.gateway.calls
+    assert door.gateway.customers["a"].others_rate == 0.0  # peers tell of it: not to be counted twice
+    assert sends(door.feed(Arrival(2, 0, 1, "b", 3000, 1, 10))) and not door.gateway.pending_calls
 
 
 def test_of_many_gateways_none_asks_about_a_store_that_must_be_empty_and_a_refusal_is_given_back() -> None:
@@ -639,18 +641,18 @@
 
 def test_of_many_gateways_none_asks_the_counter_for_what_it_would_refuse_anyway() -> None:
     door = Door(replace(MANY, counter=True, counter_wait_ms=80, plans=(Plan(rate=1, burst=4),)), SIXTY)
-    door.gateway.room_store = door.gateway.pace = 0.0
+    door.gateway.admit_tokens = door.gateway.rate = 0.0
     refused = door.feed(Arrival(1, 0, 0, "a", 3000, 1, 30))
     assert isinstance(finals(refused)[0], Refuse) and not asked_of(refused)
 
 
 def test_what_goes_beyond_a_quota_takes_nothing_from_the_store() -> None:
-    assert [taken(store, units) for store, units in ((3.5, 2), (0.9, 1), (2.5, 4), (0.0, 3))] == [1.5, 0.9, 0.5, 0.0]
+    assert [spend(store, units) for store, units in ((3.5, 2), (0.9, 1), (2.5, 4), (0.0, 3))] == [1.5, 0.9, 0.5, 0.0]
     door = Door(replace(MANY, plans=(Plan(rate=0.001, burst=2),)), SIXTY)
     customer = door.known("a")
     for told, left in ((0.5, 0.5), (1.0, 0.5), (1.0, 0.5)):
         door.feed(PeerMessage(3, gossip.encode([(customer.code, told)])))
-        assert customer.shared == pytest.approx(left)
+        assert customer.shared_bucket == pytest.approx(left)
 
 
 def test_what_is_told_again_and_again_of_a_customer_that_never_comes_is_not_kept_for_ever() -> None:
@@ -659,10 +661,10 @@
         door.feed(PeerMessage(3, gossip.encode([(code, 1.0)])))
         door.now += 1000
         door.feed(Alarm(0))
-    assert len(door.gateway.strangers[code]) <= policy.KEEP_MS / 1000
+    assert len(door.gateway.unknown_use[code]) <= policy.KEEP_MS / 1000
     door.now += 2 * policy.KEEP_MS
     door.feed(Alarm(0))
-    assert not door.gateway.strangers
+    assert not door.gateway.unknown_use
 
 
 def test_customers_that_came_once_are_soon_forgotten() -> None:
@@ -673,7 +675,7 @@
     for _ in range(20):  # seconds
         door.now += 1000
         door.feed(Alarm(0))
-    assert not door.gateway.customers and not door.gateway.codes
+    assert not door.gateway.customers and not door.gateway.by_code
 
 
 def test_attempts_that_follow_a_failed_one_leave_the_cap_on_attempts_out_as_it_is() -> None:
@@ -745,7 +747,7 @@
     assert isinstance(send, Send)
     door.now += 2500
     door.answer(send, Ending.OK, ms=2500)
-    assert door.gateway.links[send.server].slowness == 1.0 and not door.gateway.waits
+    assert door.gateway.servers[send.server].slowness == 1.0 and not door.gateway.delays
 
 
 def test_a_driver_of_pressure_is_flagged_and_others_are_not() -> None:
@@ -790,8 +792,8 @@
         door.now += 1000
         door.serve(door.ask(who="quiet"))
         door.feed(Alarm(0))
-    assert not door.gateway.pressed
-    assert all(c.cut_rate == 0 for c in door.gateway.customers.values())
+    assert not door.gateway.overloaded
+    assert all(c.throttle_rate == 0 for c in door.gateway.customers.values())
 
 
 def test_same_events_same_actions_also_interleaved() -> None:
@@ -817,8 +819,8 @@
         if n % 10 == 0:
             door.feed(Alarm(0))
     assert len(door.gateway.customers) < 1000
-    assert len(door.gateway.columns) <= policy.COLUMNS
-    assert not door.gateway.jobs
+    assert len(door.gateway.tracked) <= policy.COLUMNS
+    assert not door.gateway.in_flight
 
 
 @pytest.mark.parametrize("change", [{"gateways": 0}, {"classes": ()}, {"plans": (Plan(rate=-1, burst=1),)}])
@@ -882,7 +884,7 @@
         links = []
         for number in range(gateways):
             settings = replace(SETTINGS, gateways=gateways, position=number)
-            link = Link(Server(address), 12.0, first_turn(address, settings), 0.0)
+            link = ServerState(Server(address), 12.0, first_turn(address, settings), 0.0)
             link.cold_since = 0.0
             links.append((link, settings, total * shares[number] / sum(shares)))
         for step in range(1, 500):
@@ -893,7 +895,7 @@
                 if way != "crowd" and (step * 7919 + number * 104729) % 997 >= 997 * min(1.0, 10.0 * rate * 0.02):
                     continue
                 if cold_room(link, now, settings, rate) > 0.0:
-                    link.cold_store -= 1.0
+                    link.cold_tokens -= 1.0
                     sent.append(now)
         fall, used = SETTINGS.fall_ms, 0.0
         for first, begin in enumerate(sent):
@@ -914,7 +916,7 @@
         for attempt, ending in enumerate(endings):
             door.answer(send, ending, attempt, done=attempt == len(endings) - 1)
         customer = door.gateway.customers["a"]
-        return customer.shared, customer.cap, door.gateway.told.get(customer.code, 0.0)
+        return customer.shared_bucket, customer.cap, door.gateway.unsent.get(customer.code, 0.0)
 
     given, kept = left(Ending.MOOT), left(Ending.ERROR)
     assert given == (kept[0] + 1.0, kept[1] + 1.0, 0.0) and kept[2] == 1.0
@@ -933,8 +935,8 @@
             (send,) = sends(actions)
             door.feed(ClientGone(door.last))
             door.answer(send, Ending.MOOT, done=True)
-        assert door.gateway.customers["a"].unsaid == -first.amount
-        assert not door.gateway.jobs
+        assert door.gateway.customers["a"].correction == -first.amount
+        assert not door.gateway.in_flight
 
 
 def test_a_repeat_says_until_when_it_may_be_written_and_what_never_ran_may_wait() -> None:
@@ -958,7 +960,7 @@
     first = door.ask()
     assert isinstance(first, Send)
     door.now += 400
-    door.gateway.links[first.server].sent = door.now
+    door.gateway.servers[first.server].sent = door.now
     door.now += 200
     for _ in range(3):
         action = door.ask()
@@ -979,7 +981,7 @@
     for _ in range(500):
         door.serve(door.ask())
         door.now += 10
-    assert all(link.limit < 2 * policy.LIMIT_START for link in door.gateway.links.values())
+    assert all(link.limit < 2 * policy.LIMIT_START for link in door.gateway.servers.values())
 
 
 def test_messages_stay_within_what_a_peer_takes_in() -> None:
@@ -1065,7 +1067,7 @@
 
 def test_unanswered_work_shuts_the_door_before_any_answer_tells() -> None:
     door = Door(replace(SETTINGS, gateways=200), servers=tuple(Server(f"s{n}") for n in range(40)))
-    door.gateway.pace = 5.0
+    door.gateway.rate = 5.0
     sent = 0
     for _ in range(40):
         door.now += 50
@@ -1075,17 +1077,17 @@
 
 def test_a_first_second_lets_in_no_more_than_may_be_out_at_all_servers() -> None:
     door = Door(replace(SETTINGS, gateways=360))
-    assert door.gateway.pace == policy.PACE_MIN
-    assert Door(replace(SETTINGS, gateways=12)).gateway.pace == policy.LIMIT_START * 3 / 12
+    assert door.gateway.rate == policy.PACE_MIN
+    assert Door(replace(SETTINGS, gateways=12)).gateway.rate == policy.LIMIT_START * 3 / 12
 
 
 def test_answers_of_cold_servers_do_not_slow_the_fleet() -> None:
     door = Door(servers=(Server("s0", since_ms=1e6 - 100),))
-    door.gateway.links["s0"].cold_store = 1.0
+    door.gateway.servers["s0"].cold_tokens = 1.0
     send = door.ask()
     assert isinstance(send, Send)
     door.answer(send, Ending.OK, ms=900)
-    assert door.gateway.waits == []
+    assert door.gateway.delays == []
 
 
 def counted(total: float, door: Door | None = None) -> tuple[Door, list[CounterAdd]]:
@@ -1141,7 +1143,7 @@
     assert isinstance(send, Send)
     door.now += 600
     door.feed(Alarm(send.request + policy.FIRST_TOKEN))
-    value, _ = door.gateway.links["s0"].health[0]
+    value, _ = door.gateway.servers["s0"].health[0]
     assert value == 0.5
 
 
@@ -1151,6 +1153,6 @@
     assert isinstance(send, Send)
     door.now += 600
     door.feed(Alarm(send.request + policy.FIRST_TOKEN))
-    assert door.gateway.waits == [0.6]
+    assert door.gateway.delays == [0.6]
     door.answer(send, Ending.OK, ms=900)
-    assert door.gateway.waits == [0.6]
+    assert door.gateway.delays == [0.6]
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -215,7 +215,7 @@
                 seen.append(owned)
                 return owned
 
-        module.owner = Owner()
+        module.quota_owner = Owner()
         module.handle(0.0, api.Started())
         module.handle(0.0, api.ServerList("full", tuple(api.Server(f"s{n}") for n in range(12))))
         return module
@@ -246,7 +246,7 @@
             old.handle(1.0, api.Arrival(number, 0, 0, "a", 6000.0, 1.0, 4, False))
         told = json.loads(json.dumps(snapshot.take(old, old.settings, [1.0], [0.0])))
         snapshot.restore(new, new.settings, told, 2.0)
-        self.assertIsNotNone(new.customers["a"].owned)
+        self.assertIsNotNone(new.customers["a"].owned_quota)
         new.refill(new.customers["a"])
         self.assertEqual(new.customers["a"].cap, 5.0)
 
