--- a/petrelhall/decide/__init__.py
+++ b/petrelhall/decide/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module: pure, fed with events that carry the time, giving actions as values."""
+"""The decision module: pure functions of events that carry the time, returning actions as values."""
--- a/petrelhall/decide/gossip.py
+++ b/petrelhall/decide/gossip.py
@@ -1,7 +1,9 @@
-"""The bytes that gateways send each other: a version, a number of entries of code and units, and these.
+"""Encoding of the messages that gateways send each other about their use of quotas.
 
-Behind them come entries of code and attempts out, for customers whose plan caps those. With the units since the last
-message goes the sum of all that was told before, counted round: who missed a message finds what it said in the next.
+A message holds a version, the number of use entries, the use entries (customer code, units, sum) and then entries of
+open attempts (customer code, attempts) for customers whose plan caps those. Units are those since the last message.
+The sum adds up all units ever reported of the customer, modulo 256: a receiver that missed a message finds the missed
+units by the sum of the next one.
 """
 
 from __future__ import annotations
@@ -11,10 +13,12 @@
 
 VERSION = b"\x03"
 USE_ENTRY, OPEN_ENTRY = struct.Struct("<IBB"), struct.Struct("<IB")
-ENTRY_BYTES = 256 - len(VERSION) - 1  # bytes that a message holds for entries
-AGE_CODE = 0  # among the codes of customers: the sender's age in seconds
-MAX_MISSED_HALF_UNITS = 16  # half units that a lost message or two may have told: more is another count, begun anew
-MAX_SUMS = 20000  # kept of what was told and heard: a full table begins anew
+ENTRY_BYTES = 256 - len(VERSION) - 1  # bytes of a message that are left for entries
+AGE_CODE = 0  # stands in place of a customer's code: the entry holds the sender's age in seconds
+# Half units that one or two lost messages may have reported. A larger difference of sums means that the sender has
+# restarted and counts anew.
+MAX_MISSED_HALF_UNITS = 16
+MAX_SUMS = 20000  # sums kept of sent and of received reports; a full table is cleared
 
 Entries = list[tuple[int, float]]
 
@@ -22,7 +26,7 @@
 def encode(
     uses: Iterable[tuple[int, float]], opens: Iterable[tuple[int, int]] = (), sent_sums: dict[int, int] | None = None
 ) -> bytes:
-    """Write units sent on by customer, to half a unit, and attempts out; ``sums`` is brought up to date."""
+    """Encode units sent on by customer, rounded to half units, and open attempts; updates ``sent_sums``."""
     use_entries = []
     for code, units in uses:
         halves = min(255, round(units * 2))
@@ -39,7 +43,7 @@
 def pack(
     units: dict[int, float], open_attempts: dict[int, int], sent_sums: dict[int, int] | None = None
 ) -> tuple[bytes, dict[int, float], dict[int, int]]:
-    """Write as many as a message holds, attempts out first, and give back the rest."""
+    """Encode as many entries as a message holds, open attempts first; return the message and the remaining entries."""
     opens, entries = list(open_attempts.items()), list(units.items())
     most = ENTRY_BYTES // OPEN_ENTRY.size
     room = (ENTRY_BYTES - OPEN_ENTRY.size * len(opens[:most])) // USE_ENTRY.size
@@ -49,9 +53,9 @@
 def decode(
     body: bytes, sender: int = 0, received_sums: dict[tuple[int, int], int] | None = None
 ) -> tuple[Entries, Entries]:
-    """Read uses and attempts out; other versions and junk read as nothing.
+    """Decode units used and open attempts by customer; other versions and malformed messages give no entries.
 
-    ``heard`` holds the sums that each sender had told, by which what was missed is made up for.
+    ``received_sums`` holds the last sum by sender and customer, from which the units of missed messages are added.
     """
     end = 2 + USE_ENTRY.size * body[1] if len(body) > 1 else 0
     if body[:1] != VERSION or not 2 <= end <= len(body) or (len(body) - end) % OPEN_ENTRY.size:
--- a/petrelhall/decide/replan.py
+++ b/petrelhall/decide/replan.py
@@ -1,6 +1,7 @@
-"""What becomes of customers when their plans change while they are served. Pure.
+"""Applies changed plans to customers while they are served. Pure.
 
-A smaller burst cuts a store, a larger one never refills it, and a ceiling that was not there before begins spent.
+A smaller burst cuts a token bucket, a larger one never refills it, and a ceiling that did not exist before starts with
+an empty bucket.
 """
 
 from __future__ import annotations
@@ -10,7 +11,10 @@
 
 
 def replan(state: GatewayState, before: tuple[Plan, ...], after: tuple[Plan, ...], now: float) -> None:
-    """Give every customer its plan's new form. Stores were brought up to their last use by the plan before."""
+    """Give every customer the new version of its plan.
+
+    Token buckets are left as of their last use, up to which they were filled under the old plan.
+    """
     indexes = {id(plan): index for index, plan in enumerate(before)}
     for customer in state.customers.values():
         index = indexes.get(id(customer.plan))
--- a/petrelhall/decide/settings.py
+++ b/petrelhall/decide/settings.py
@@ -1,4 +1,4 @@
-"""Reads the settings that a gateway is given at its start: the adapter and the real gateway share this."""
+"""Parses the settings that a gateway is given at its start, for the simulator's adapter and for the real gateway."""
 
 from __future__ import annotations
 
@@ -14,24 +14,24 @@
 
 
 class SettingsError(ValueError):
-    """A field that is missing or makes no sense; the text begins with its name."""
+    """A setting that is missing or invalid; the text begins with its name."""
 
 
 def read_settings(profile: Any) -> api.Settings:
-    """Turn the settings' object into the project's own; unknown keys are ignored."""
+    """Convert the platform's settings object to ``Settings``; unknown keys are ignored."""
     top = Section("settings", profile)
     limits, rules, family = top.section("Limits"), top.section("Rules"), top.section("FamilyInfo")
     report, charges = top.section("Report"), top.section("Charges")
     try:
         return api.Settings(
-            classes=tuple(read_class(grade) for grade in top.sections("Grades", needed=True)),
-            plans=tuple(read_plan(plan) for plan in top.sections("Packages")),
-            position=top.whole("Position", 0),
-            gateways=top.whole("Balancers", 1),
-            zone=top.whole("Zone", 0),
+            classes=tuple(read_class(class_section) for class_section in top.sections("Grades", required=True)),
+            plans=tuple(read_plan(plan_section) for plan_section in top.sections("Packages")),
+            position=top.integer("Position", 0),
+            gateways=top.integer("Balancers", 1),
+            zone=top.integer("Zone", 0),
             subscribe=top.text("MembershipMode") == "subscribe",
             ask_every_ms=rules.number("AskEveryMs", 10000.0),
-            max_attempts=limits.whole("MaxAttempts", 1),
+            max_attempts=limits.integer("MaxAttempts", 1),
             second_copies=limits.flag("SecondCopies"),
             cancel=limits.flag("Cancel"),
             probes=limits.flag("Probes"),
@@ -55,44 +55,44 @@
         )
     except SettingsError:
         raise
-    except ValueError as error:  # a value that the module itself refuses
+    except ValueError as error:  # a value that ``Settings`` itself rejects
         raise SettingsError(f"settings: {error}") from error
 
 
-def read_class(grade: Section) -> api.RequestClass:
-    """Read one class of request."""
-    effect = grade.text("Effect")
+def read_class(section: Section) -> api.RequestClass:
+    """Parse one request class."""
+    effect = section.text("Effect")
     if effect not in EFFECTS:
-        raise SettingsError(f"{grade.name}.Effect: must be one of {', '.join(EFFECTS)}, not {effect!r}")
+        raise SettingsError(f"{section.name}.Effect: must be one of {', '.join(EFFECTS)}, not {effect!r}")
     return api.RequestClass(
         effect=EFFECTS[effect],
-        aim_ms=grade.number("PromiseMs"),
-        deadline_ms=grade.number("DeadlineMs"),
-        worth=grade.number("Worth", 1.0),
-        late_worth=grade.number("LateWorth", 0.0),
-        group=grade.text("Group") or "all",
-        window_ms=grade.number("WindowMs", 0.0),
-        streamed=grade.flag("Streamed"),
+        aim_ms=section.number("PromiseMs"),
+        deadline_ms=section.number("DeadlineMs"),
+        worth=section.number("Worth", 1.0),
+        late_worth=section.number("LateWorth", 0.0),
+        group=section.text("Group") or "all",
+        window_ms=section.number("WindowMs", 0.0),
+        streamed=section.flag("Streamed"),
     )
 
 
-def read_plan(plan: Section) -> api.Plan:
-    """Read one plan."""
+def read_plan(section: Section) -> api.Plan:
+    """Parse one plan."""
     return api.Plan(
-        rate=plan.number("QuotaRate", 0.0),
-        burst=plan.number("Depth", 0.0),
-        max_open=plan.whole("Parallel", 0),
-        price=plan.number("Pays", 1.0),
-        over_worth=plan.number("OverWorth", 0.0),
-        over_cost=plan.number("BeyondCosts", 0.0),
-        ceiling_rate=plan.number("NeverOverRate", 0.0),
-        ceiling_burst=plan.number("CapDepth", 0.0),
-        ceiling_slack=plan.number("CeilingSlack", 0.0),
+        rate=section.number("QuotaRate", 0.0),
+        burst=section.number("Depth", 0.0),
+        max_open=section.integer("Parallel", 0),
+        price=section.number("Pays", 1.0),
+        over_worth=section.number("OverWorth", 0.0),
+        over_cost=section.number("BeyondCosts", 0.0),
+        ceiling_rate=section.number("NeverOverRate", 0.0),
+        ceiling_burst=section.number("CapDepth", 0.0),
+        ceiling_slack=section.number("CeilingSlack", 0.0),
     )
 
 
 class Section:
-    """An object of the settings that knows its own name; a value that is null counts as absent."""
+    """An object within the settings, with its path for error messages; a null value counts as absent."""
 
     def __init__(self, name: str, value: Any) -> None:
         if not isinstance(value, dict):
@@ -100,51 +100,51 @@
         self.name, self.values = name, value
 
     def section(self, key: str) -> Section:
-        """Give an object, empty where absent."""
+        """Return the object under a key, empty if absent."""
         value = self.values.get(key)
         return Section(f"{self.name}.{key}", {} if value is None else value)
 
-    def sections(self, key: str, needed: bool = False) -> list[Section]:
-        """Give a list of objects, empty where absent."""
+    def sections(self, key: str, required: bool = False) -> list[Section]:
+        """Return the list of objects under a key, empty if absent and not required."""
         value = self.values.get(key)
-        if value is None and not needed:
+        if value is None and not required:
             return []
         if not isinstance(value, list):
             raise SettingsError(f"{self.name}.{key}: must be a list of objects")
         return [Section(f"{self.name}.{key}[{index}]", item) for index, item in enumerate(value)]
 
-    def number(self, key: str, absent: float | None = None) -> float:
-        """Give a number; one without a stand-in must be there."""
+    def number(self, key: str, default: float | None = None) -> float:
+        """Return the number under a key; it is required if there is no default."""
         value = self.values.get(key)
-        if value is None and absent is not None:
-            return absent
+        if value is None and default is not None:
+            return default
         if isinstance(value, bool) or not isinstance(value, int | float):
             raise SettingsError(f"{self.name}.{key}: must be a number")
         return float(value)
 
-    def whole(self, key: str, absent: int) -> int:
-        """Give a whole number."""
-        value = self.number(key, absent)
+    def integer(self, key: str, default: int) -> int:
+        """Return the integer under a key."""
+        value = self.number(key, default)
         if value != int(value):
             raise SettingsError(f"{self.name}.{key}: must be a whole number")
         return int(value)
 
     def flag(self, key: str) -> bool:
-        """Give a yes or no; absent is no."""
+        """Return the boolean under a key, False if absent."""
         value = self.values.get(key)
         if value is not None and not isinstance(value, bool):
             raise SettingsError(f"{self.name}.{key}: must be true or false")
         return bool(value)
 
     def text(self, key: str) -> str:
-        """Give a text; absent is an empty one."""
+        """Return the string under a key, empty if absent."""
         value = self.values.get(key)
         if value is not None and not isinstance(value, str):
             raise SettingsError(f"{self.name}.{key}: must be text")
         return value or ""
 
     def texts(self, key: str) -> tuple[str, ...]:
-        """Give a list of texts, empty where absent."""
+        """Return the list of strings under a key, empty if absent."""
         value = self.values.get(key)
         if value is None:
             return ()
--- a/petrelhall/decide/snapshot.py
+++ b/petrelhall/decide/snapshot.py
@@ -1,7 +1,8 @@
-"""What one process of a gateway hands to the next at an upgrade: a snapshot of what it remembers. Pure.
+"""Snapshot of a gateway's state that one process hands to its successor at an upgrade. Pure.
 
-Plain values only, so that any form of file can carry them; what is not in the form, or was made under other
-settings, is refused whole (SnapshotError). Requests in hand stay behind: they end where they were taken.
+A snapshot holds plain values only, so that any file format can carry it. One that is malformed, or was made under
+other settings, is refused as a whole (SnapshotError). Requests in flight are not part of it: they end in the process
+that accepted them.
 """
 
 from __future__ import annotations
@@ -14,7 +15,9 @@
 from petrelhall.decide.state import Customer, GatewayState, ServerState
 
 FORMAT_VERSION = 1
-MAX_CUSTOMERS = 4000  # those seen last: the others are new again when they come
+# Customers in a snapshot, those seen last: the others start anew when they return.
+MAX_CUSTOMERS = 4000
+# The attributes below are stored as lists without names: their order is part of the format.
 CUSTOMER_FIELDS = (
     "set_size",
     "set_first",
@@ -65,22 +68,22 @@
     "filled_at",
     "avg_admitted",
 )
-INTEGER_FIELDS = {"set_size", "set_first"}
+INTEGER_FIELDS = {"set_size", "set_first"}  # set by the constructor of Customer
 
 
 class SnapshotError(ValueError):
-    """A snapshot that cannot be used; the text says why."""
+    """A snapshot that cannot be used; the text gives the reason."""
 
 
 def fingerprint(settings: Settings) -> int:
-    """Give a number that differs where the plans, the classes or this gateway's place differ."""
+    """Return a checksum of the plans, the classes and this gateway's position among the gateways."""
     return zlib.crc32(repr((settings.plans, settings.classes, settings.gateways, settings.position)).encode())
 
 
 def take(
     state: GatewayState, settings: Settings, latency: list[float], faults: list[float], served: tuple[Plan, ...] = ()
 ) -> dict[str, Any]:
-    """Give all that the next process can use, at this moment; ``served``: the plans where others took their place."""
+    """Return a snapshot of the current state; ``served`` are the plans in use where they differ from the settings'."""
     plans = {id(plan): index for index, plan in enumerate(served or settings.plans)}
     latest = sorted(state.customers.items(), key=lambda named: named[1].seen_at)[-MAX_CUSTOMERS:]
     return {
@@ -117,13 +120,14 @@
 
 
 def restore(state: GatewayState, settings: Settings, data: Any, now: float) -> tuple[list[float], list[float]]:
-    """Take a snapshot over (SnapshotError), and give latency and faults by class.
+    """Load a snapshot into ``state``, and return the latency and the share of faults by class.
 
-    Attempts that the other process has out count as those of a peer do: told now, and soon forgotten.
+    Raises SnapshotError, with ``state`` unchanged. Attempts that the other process has open count as those of a peer
+    reported now, which soon expire.
     """
     try:
         if data["form"] != FORMAT_VERSION or data["settings"] != fingerprint(settings):
-            raise SnapshotError("of another form, or made under other settings")
+            raise SnapshotError("of another format version, or made under other settings")
         customers = {
             str(name): parse_customer(settings, zlib.crc32(str(name).encode()), values, now)
             for name, values in data["customers"].items()
@@ -143,7 +147,7 @@
     except SnapshotError:
         raise
     except (KeyError, TypeError, ValueError, AttributeError, IndexError) as error:
-        raise SnapshotError(f"not in the form: {error!r}") from None
+        raise SnapshotError(f"malformed: {error!r}") from None
     state.customers, state.by_code = customers, {customer.code: customer for customer in customers.values()}
     for customer in customers.values():
         customer.owned_quota = state.quota_owner.account(customer, now) if state.quota_owner is not None else None
@@ -160,11 +164,11 @@
 
 
 def parse_customer(settings: Settings, code: int, values: Any, now: float) -> Customer:
-    """Read one customer."""
+    """Return a customer from its stored list."""
     plan = values[0]
     use_known, total_name, open_attempts, peers_open = values[-4:]
     if not 0 <= plan < len(settings.plans):
-        raise SnapshotError(f"no plan {plan}")
+        raise SnapshotError(f"unknown plan {plan}")
     numbers = dict(zip(CUSTOMER_FIELDS, parse_numbers(values[1:-4], len(CUSTOMER_FIELDS)), strict=True))
     customer = Customer(
         settings.plans[plan],
@@ -185,14 +189,14 @@
 
 
 def parse_server(server: ServerState, values: Any) -> tuple[list[float], int, dict[int, tuple[float, float]]]:
-    """Read what was known of one server."""
+    """Return a server's fields, ejections and health by class from its stored list."""
     numbers = parse_numbers(values[: len(SERVER_FIELDS)], len(SERVER_FIELDS))
     ejections, health = values[len(SERVER_FIELDS) :]
     return numbers, int(ejections), {int(index): (parse_number(good), parse_number(at)) for index, good, at in health}
 
 
 def read_fields(record: object, names: tuple[str, ...]) -> list[float | None]:
-    """Give some fields; what is infinite or not set is told as none."""
+    """Return attributes of a record as storable numbers: None for unset and -infinity, 1e300 for +infinity."""
     values = (getattr(record, name) for name in names)
     return [
         value if value is not None and math.isfinite(value) else None if value is None or value < 0 else 1e300
@@ -201,14 +205,14 @@
 
 
 def parse_numbers(values: Any, count: int | None) -> list[float]:
-    """Read a list of numbers; none stands for minus infinity."""
+    """Return a stored list of numbers, of the given length if there is one."""
     if not isinstance(values, list) or (count is not None and len(values) != count):
-        raise SnapshotError(f"a list of {count} numbers is wanted")
+        raise SnapshotError(f"expected a list of {count} numbers")
     return [parse_number(value) for value in values]
 
 
 def parse_number(value: Any) -> float:
-    """Read a number."""
+    """Return a stored number: None stands for -infinity, 1e300 and more for +infinity."""
     if value is None:
         return -math.inf
     if isinstance(value, bool) or not isinstance(value, int | float) or not math.isfinite(value):
--- a/petrelhall/decide/state.py
+++ b/petrelhall/decide/state.py
@@ -1,4 +1,7 @@
-"""What a gateway remembers of customers, servers and requests: plain records, no decisions."""
+"""State that a gateway keeps of customers, servers and requests: plain records, no decisions.
+
+Times are in ms on the clock that is handed in with each event, units are those of the plans, rates are per second.
+"""
 
 from __future__ import annotations
 
@@ -11,70 +14,73 @@
 
 
 class OwnedQuota(Protocol):
-    """What this gateway owns of a customer's quota and ceiling, where shares are owned."""
+    """The part of a customer's quota and ceiling that this gateway owns, where gateways share them by ownership."""
 
     def available(self, now: float) -> tuple[float, float]:
-        """Give the units of the quota and of the ceiling that may be spent now; infinite where the plan has none."""
+        """Return the units of the quota and of the ceiling that may be spent now; infinite where the plan has none."""
 
     def want(self, now: float, units: float) -> None:
-        """Hear that units are asked for."""
+        """Record demand for units, whether or not it can be met."""
 
     def spend(self, now: float, units: float) -> None:
-        """Book units as spent."""
+        """Deduct units that were spent."""
 
     def fill(self, now: float) -> None:
-        """Hear that all gateways began together: nobody had used anything before."""
+        """Fill the owned part: all gateways started together, so that nothing had been used before."""
 
 
 class QuotaOwner(Protocol):
-    """Whoever keeps the shares."""
+    """Allocates owned parts of quotas."""
 
     def account(self, customer: Customer, now: float) -> OwnedQuota | None:
-        """Give what is owned of a customer; None where the stores here are to decide."""
+        """Return the owned part of a customer's quota; None where the customer's token buckets decide instead."""
 
 
 @dataclass(eq=False)
 class Customer:
-    """One customer as seen from here; stores in units, rates in units/s."""
+    """One customer as this gateway knows it; token buckets hold units, rates are in units/s."""
 
     plan: Plan
-    set_size: int
-    code: int  # stands for it in messages and at the counter
+    set_size: int  # number of gateways that the customer uses
+    code: int  # identifies the customer in messages to peers and at the shared counter
     seen_at: float
-    others_at: float  # when the others' use was last heard of
-    set_first: int = 0  # the first of the gateways that it uses
-    even: float = 1.0  # the even slice: one over the number of gateways that it uses
-    filled_at: float = 0.0  # when its stores were last brought up to date
-    bucket: float = 0.0  # the even slice at the start
-    shared_bucket: float = 0.0  # the whole store, as far as is known
-    use_known: bool = False  # whether its use by all was ever told
-    overflow: float = 0.0  # fill that a full shared store has lost since the last news
-    admit_share: float = 1.0  # of its demand that the quota bears, as far as is known
-    cap: float = 0.0  # this gateway's part of the ceiling
-    demand: float = 0.0
-    sent_rate: float = 0.0
-    others_rate: float = 0.0
-    interval_units: float = 0.0  # asked in this interval
-    counter_total: float = 0.0  # the counter's last word
-    counter_level: float = 0.0  # of its store on the counter, and when
+    others_at: float  # when use through other gateways was last reported
+    set_first: int = 0  # number of the first gateway that it uses
+    even: float = 1.0  # an even share: one over the number of gateways that it uses
+    filled_at: float = 0.0  # when the buckets were last brought up to date
+    bucket: float = 0.0  # local token bucket; begins with the even share of the burst
+    shared_bucket: float = 0.0  # estimate of the quota's whole bucket, over all gateways
+    use_known: bool = False  # whether its use over all gateways was ever reported
+    overflow: float = 0.0  # tokens that the full shared bucket has discarded since the last report
+    admit_share: float = 1.0  # estimated share of its demand that the quota covers
+    cap: float = 0.0  # token bucket of this gateway's part of the ceiling
+    demand: float = 0.0  # recent rate of requests
+    sent_rate: float = 0.0  # recent rate sent on to servers by this gateway
+    others_rate: float = 0.0  # recent rate sent on by other gateways
+    interval_units: float = 0.0  # units requested in the current interval
+    counter_total: float = 0.0  # last total that the shared counter returned
+    counter_level: float = 0.0  # tokens in the bucket on the shared counter at ``counter_level_at``
     counter_level_at: float = -math.inf
-    correction: float = 0.0  # to be added with the next call
-    total_name: int = -1  # and the name that it was of
-    open: int = 0
-    owned_quota: OwnedQuota | None = None  # decides in place of the stores above
-    peers_open: dict[int, tuple[float, float]] = field(default_factory=dict)  # out at each peer, and when told
-    samples: list[tuple[float, float]] = field(default_factory=list)  # the column: units and pressure
-    flags: int = 0  # tests in a row that flagged it
-    throttle_rate: float = 0.0
+    correction: float = 0.0  # units to add to the amount of the next counter call
+    total_name: int = -1  # counter name that ``counter_total`` was read from
+    open: int = 0  # attempts without an outcome yet
+    owned_quota: OwnedQuota | None = None  # where set, it decides in place of the buckets above
+    peers_open: dict[int, tuple[float, float]] = field(default_factory=dict)  # by peer: open attempts, when reported
+    samples: list[tuple[float, float]] = field(default_factory=list)  # units and pressure of recent intervals
+    flags: int = 0  # consecutive intervals in which its use correlated with pressure
+    throttle_rate: float = 0.0  # 0 while the customer is not throttled
     throttle_bucket: float = 0.0
 
     def __post_init__(self) -> None:
-        """Fill the stores as a plan does; a restarted gateway must assume its part of the ceiling spent."""
+        """Fill the quota's buckets to the plan's burst.
+
+        The ceiling's bucket stays empty: a restarted gateway must assume that its part has been spent.
+        """
         self.even, self.filled_at = 1.0 / max(1, self.set_size), self.seen_at
         self.bucket, self.shared_bucket = self.plan.burst * self.even, self.plan.burst
 
     def add_tokens(self, elapsed: float, shared_rate: float, cap_rate: float, cap_most: float) -> None:
-        """Fill the stores for some seconds at the given rates."""
+        """Add the tokens of ``elapsed`` seconds to the buckets; an owned quota replaces their contents."""
         shared = self.shared_bucket + shared_rate * elapsed
         self.shared_bucket = min(self.plan.burst, shared)
         self.overflow += shared - self.shared_bucket
@@ -87,69 +93,69 @@
         self.throttle_bucket = min(1.0 + self.throttle_rate, self.throttle_bucket + self.throttle_rate * elapsed)
 
     def decay_rates(self, factor: float, others: bool) -> None:
-        """Let the recent rates decay; the others' only where nothing better is known."""
+        """Decay the recent rates; that of other gateways only with ``others``, where no newer report replaces it."""
         self.demand, self.sent_rate = self.demand * factor, self.sent_rate * factor
         self.others_rate *= factor if others else 1.0
 
     def max_level(self, now: float) -> float:
-        """Give the most that its store on the counter can hold now."""
+        """Return the most tokens that the customer's bucket on the shared counter can hold now."""
         return self.counter_level + self.plan.rate * (now - self.counter_level_at) / 1000.0
 
     def other_gateways(self, own: int, gateways: int) -> tuple[int, ...]:
-        """Give the numbers of the other gateways that it uses: some in a row, counted round."""
+        """Return the numbers of the other gateways that the customer uses: consecutive ones, modulo ``gateways``."""
         numbers = ((self.set_first + step) % gateways for step in range(min(self.set_size, gateways)))
         return tuple(number for number in numbers if number != own)
 
     def record_demand(self, now: float, units: float, rate: float) -> None:
-        """Book what it asks for."""
+        """Record a request for units."""
         self.seen_at, self.interval_units, self.demand = now, self.interval_units + units, self.demand + rate
         if self.owned_quota is not None:
             self.owned_quota.want(now, units)
 
     def record_sent(self, units: float, rate: float) -> None:
-        """Book what is sent on for it, beside the quota."""
+        """Deduct units that are sent on to a server from all buckets but the quota's."""
         self.cap, self.throttle_bucket = self.cap - units, self.throttle_bucket - units
         self.sent_rate += rate
         if self.owned_quota is not None:
             self.owned_quota.spend(self.filled_at, units)
 
     def stop_tracking(self) -> None:
-        """Lose the column and what followed from it."""
+        """Discard the samples of the correlation test and lift the throttle that followed from them."""
         self.samples, self.flags, self.throttle_rate = [], 0, 0.0
 
     def take_tokens(self, bucket: float, shared: float) -> None:
-        """Take units from the stores of the quota."""
+        """Deduct units from the quota's local and shared buckets."""
         self.bucket, self.shared_bucket = self.bucket - bucket, self.shared_bucket - shared
 
 
 @dataclass(eq=False)
 class ServerState:
-    """One server as seen from here."""
+    """One server as this gateway knows it."""
 
     server: Server
-    limit: float  # attempts that may be out at it from here
-    cold_tokens: float  # attempts that may go to it while it is cold
-    cold_tokens_at: float
-    limit_cut_at: float = 0.0  # when the limit last fell
-    open: float = 0.0
-    other_load: float = 0.0  # requests of others that it reported
+    limit: float  # concurrency limit: attempts that this gateway may have open at the server
+    cold_tokens: float  # attempts that may be sent to the server while it is cold
+    cold_tokens_at: float  # when ``cold_tokens`` was last brought up to date
+    limit_cut_at: float = 0.0  # when the limit was last reduced
+    open: float = 0.0  # attempts of this gateway without an outcome yet
+    other_load: float = 0.0  # requests of other gateways, from the server's last load report
     reported_at: float = 0.0
-    slowness: float = 1.0  # latency over the fleet's
-    delay: float = 0.0  # latency over the aim
+    slowness: float = 1.0  # smoothed latency over the fleet's
+    delay: float = 0.0  # smoothed latency over the aim of the request's class
     measured_at: float = 0.0
-    sent: float = 0.0  # last attempt
-    answer_at: float = 0.0  # last outcome, or when work was first out since
-    resets: int = 0  # in a row
-    ejections: int = 0
+    sent: float = 0.0  # when the last attempt was sent; 0 if none was
+    answer_at: float = 0.0  # when the last outcome came, or the first attempt was sent after a time with none open
+    resets: int = 0  # consecutive connection resets
+    ejections: int = 0  # consecutive ejections as an outlier
     ejected_until: float = 0.0
-    down_at: float = 0.0  # when it last proved dead; 0 while alive
-    health: dict[int, tuple[float, float]] = field(default_factory=dict)  # by class: good, and when
+    down_at: float = 0.0  # when a connection was last refused; 0 while the server is up
+    health: dict[int, tuple[float, float]] = field(default_factory=dict)  # by class: chance of success, when updated
     cold_since: float | None = None
 
 
 @dataclass(eq=False)
 class Attempt:
-    """One attempt of a request."""
+    """One attempt to have a request served."""
 
     target: ServerState
     sent: float
@@ -158,41 +164,43 @@
 
 @dataclass(eq=False)
 class InFlightRequest:
-    """A request in hand; its final answer is owed until it has ended."""
+    """A request that is owed a final answer until ``ended`` is set."""
 
     arrival: Arrival
     kind: RequestClass
     customer: Customer
     accepted_at: float
-    useful_ms: float  # an answer later is worth nothing
+    useful_ms: float  # after this time an answer is worth nothing
     attempts: list[Attempt] = field(default_factory=list)
-    counted: float = 0.0  # units told to the counter
-    granted: bool | None = None  # of the counter's store
-    first_run_at: float = math.inf  # when the first attempt that may have run was sent
+    counted: float = 0.0  # units added to the shared counter for it
+    granted: bool | None = None  # verdict of the bucket on the shared counter; None: not asked
+    first_run_at: float = math.inf  # when the earliest attempt that may have run was sent
     first_run_server: Server | None = None
-    cause: str = ""  # what it was refused for at first
-    drawn_units: tuple[float, float] = (0.0, 0.0)  # taken from the bucket and from the whole store when it was let in
-    reached_server: bool = (
-        False  # whether an attempt may have come whole to a server: only then it counts against a quota
-    )
+    cause: str = ""  # why it was first refused
+    drawn_units: tuple[float, float] = (0.0, 0.0)  # taken from the local and the shared bucket on admission
+    # Whether an attempt may have reached a server whole: only then does the request count against a quota.
+    reached_server: bool = False
     ended: bool = False
-    overdue: bool = False  # and counted as slow
+    overdue: bool = False  # its delay has already been counted as slow
 
     def start_attempt(self, server: ServerState, now: float) -> None:
-        """Book a new attempt; each counts as out, a later one of a request too, since each books its end."""
+        """Record a new attempt.
+
+        Each one counts as open at its server, later ones of the same request too, since each outcome is recorded.
+        """
         self.customer.open += not self.has_open
         server.cold_tokens, server.sent = server.cold_tokens - (server.cold_since is not None), now
         server.open, server.answer_at = server.open + 1.0, server.answer_at if server.open else now
         self.attempts.append(Attempt(server, now))
 
     def take_tokens(self, rate: float) -> None:
-        """Take the units of a request that is let in, as far as the stores hold them."""
+        """Deduct the units of an admitted request, as far as the buckets hold them."""
         self.drawn_units = min(self.units, self.customer.bucket), min(self.units, self.customer.shared_bucket)
         self.customer.take_tokens(*self.drawn_units)
         self.customer.record_sent(self.units, rate)
 
     def finish_attempt(self, attempt: Attempt, now: float, ending: Ending) -> bool:
-        """Book the end of an attempt, and tell whether it may have run."""
+        """Record the outcome of an attempt, and return whether it may have run on the server."""
         ran = ending not in (Ending.FULL, Ending.CONNECT_FAILED, Ending.MOOT)
         self.reached_server |= ending is not Ending.MOOT
         attempt.open = False
@@ -203,23 +211,29 @@
         return ran
 
     def send_action(self, now: float, margin: float) -> Send:
-        """Give the action for its last attempt; a repeat must be written within a share of the class's window."""
+        """Return the action that sends the latest attempt.
+
+        Unless the class is repeatable, a repeat must be written within a share ``margin`` of the class's window.
+        """
         write_by = math.inf if self.kind.effect is Effect.REPEATABLE else self.repeat_deadline(margin)
         address = self.attempts[-1].target.server.address
         return Send(self.id, address, max(1.0, self.useful_until - now), write_by)
 
     def repeat_deadline(self, margin: float) -> float:
-        """Give when a share of the class's window is over, from the first attempt that may have run; if none, never."""
+        """Return when a share ``margin`` of the class's window has passed since the first attempt that may have run.
+
+        Infinite if no attempt can have run.
+        """
         return self.first_run_at + margin * self.kind.window_ms
 
     @property
     def index(self) -> int:
-        """The number of its class."""
+        """Index of the request's class in the settings."""
         return self.arrival.request_class
 
     @property
     def aim_at(self) -> float:
-        """When the wanted time is over."""
+        """When the class's latency aim is missed."""
         return self.accepted_at + self.kind.aim_ms
 
     @property
@@ -229,7 +243,7 @@
 
     @property
     def useful_until(self) -> float:
-        """When an answer loses all worth."""
+        """When an answer has lost all worth."""
         return self.accepted_at + self.useful_ms
 
     @property
@@ -239,90 +253,91 @@
 
     @property
     def units(self) -> float:
-        """The units that it draws."""
+        """Units that the request takes from the quota."""
         return self.arrival.units
 
     @property
     def has_open(self) -> bool:
-        """Whether an attempt is still out."""
+        """Whether an attempt has no outcome yet."""
         return any(attempt.open for attempt in self.attempts)
 
     @property
     def never_ran(self) -> bool:
-        """Whether every attempt so far is proved not to have run."""
+        """Whether it is certain that no attempt so far has run on a server."""
         return self.first_run_at == math.inf and not self.has_open
 
 
-CounterCall = tuple[
-    float, InFlightRequest, float, float | None
-]  # to the counter: amount, request, when, total to put right
+# A call of the shared counter: amount, request, time of the call, and the total that it corrects (None: an ordinary
+# call).
+CounterCall = tuple[float, InFlightRequest, float, float | None]
 
 
 @dataclass(eq=False)
 class GatewayState:
-    """All that one gateway holds; every start begins with an empty one."""
+    """All state of one gateway; every start begins with an empty one."""
 
     now: float = 0.0
     quota_owner: QuotaOwner | None = None
-    started: float = 0.0
+    started: float = 0.0  # when this gateway started
     actions: list[Action] = field(default_factory=list)
     customers: dict[str, Customer] = field(default_factory=dict)
     by_code: dict[int, Customer] = field(default_factory=dict)
-    tracked: dict[int, Customer] = field(default_factory=dict)  # the busiest, by code
-    active: dict[int, Customer] = field(default_factory=dict)  # seen in this interval, by code
-    unsent: dict[int, float] = field(default_factory=dict)  # units since the last message, by code
-    unsent_open: dict[int, int] = field(default_factory=dict)  # attempts out that peers were not told of, by code
-    open_counts: dict[int, int] = field(default_factory=dict)  # attempts out of capped customers that have any
-    sent_sums: dict[int, int] = field(default_factory=dict)  # of all told of a customer, half units counted round
-    received_sums: dict[tuple[int, int], int] = field(default_factory=dict)  # the same as heard, by peer and code
-    broadcast_at: float = -math.inf  # when peers were last told anything
-    broadcast_due: bool = False  # whether a timer stands for telling them of attempts out
-    # What peers sent on for customers that are not known here, by code: when and how many units
+    tracked: dict[int, Customer] = field(default_factory=dict)  # by code: the busiest, tested for correlation
+    active: dict[int, Customer] = field(default_factory=dict)  # by code: those seen in the current interval
+    unsent: dict[int, float] = field(default_factory=dict)  # by code: units not yet reported to peers
+    unsent_open: dict[int, int] = field(default_factory=dict)  # by code: open attempts not yet reported to peers
+    open_counts: dict[int, int] = field(default_factory=dict)  # by code: open attempts of customers with a cap on them
+    # By code: sum of all half units ever reported of a customer, modulo 256.
+    sent_sums: dict[int, int] = field(default_factory=dict)
+    received_sums: dict[tuple[int, int], int] = field(default_factory=dict)  # by peer and code: sums that peers sent
+    broadcast_at: float = -math.inf  # when the last message went to all peers
+    broadcast_due: bool = False  # whether a timer is set to report open attempts to all peers
+    # By code, for customers not known here: when peers reported use, and how many units.
     unknown_use: dict[int, list[tuple[float, float]]] = field(default_factory=dict)
-    set_message_tokens: float = 0.0  # messages to single peers that may go, and when that was brought up to date
-    set_message_tokens_at: float = 0.0
-    peer_news_at: float = -math.inf  # when a peer was last heard
+    set_message_tokens: float = 0.0  # messages to single peers that may be sent
+    set_message_tokens_at: float = 0.0  # when ``set_message_tokens`` was last brought up to date
+    peer_news_at: float = -math.inf  # when a peer's message last arrived
     servers: dict[str, ServerState] = field(default_factory=dict)
     in_flight: dict[int, InFlightRequest] = field(default_factory=dict)
-    ask_share: float = 1.0  # of the tries that call the counter
-    reply_at: float = -math.inf  # when one was last heard
-    no_reply_at: float = -math.inf  # when a call last went without an answer
-    pending_calls: dict[int, deque[CounterCall]] = field(default_factory=dict)  # out there, by name
-    delays: list[float] = field(default_factory=list)  # latency over aim of the last answers
-    admit_shares: dict[int, float] = field(default_factory=dict)  # percent of demand that peers told, by code
-    warm_rate: float = 0.0  # attempts/s to a warm server
-    warm_sends: float = 0.0  # this and the next four: sums over the interval
-    delay_sum: float = 0.0
+    ask_share: float = 1.0  # share of requests for which the shared counter is called
+    reply_at: float = -math.inf  # when a counter call last succeeded
+    no_reply_at: float = -math.inf  # when a counter call last failed
+    pending_calls: dict[int, deque[CounterCall]] = field(default_factory=dict)  # by counter name
+    delays: list[float] = field(default_factory=list)  # latency over aim of the latest answers
+    admit_shares: dict[int, float] = field(default_factory=dict)  # by code: percent of demand to admit
+    warm_rate: float = 0.0  # attempts/s to one warm server
+    warm_sends: float = 0.0  # this and the next four are sums over the current interval
+    delay_sum: float = 0.0  # latency over aim of served attempts
     served: float = 0.0
-    overloads: float = 0.0
-    ends: float = 0.0
-    retry_budget: float = 0.0  # the retry budget
+    overloads: float = 0.0  # attempts that timed out or met a full server
+    ends: float = 0.0  # attempts that ended, unless cancelled or never made
+    retry_budget: float = 0.0
     overloaded: bool = False
     interval_due: float = math.inf
-    stall_at: float = -math.inf  # when this gateway last found that it had stood still
-    mean_load: float = 0.0  # requests of others that a server has as a rule
-    healthy: list[ServerState] = field(default_factory=list)  # those listed as healthy
-    all_slow: bool = False  # whether the fleet as a whole is
-    rate: float = math.inf  # tries/s that they bear from here
-    initial_rate: float = math.inf  # and at first, when nothing is known
-    admit_tokens: float = 2.0  # tries that may be let in, and when that was brought up to date
-    filled_at: float = 0.0
-    open: float = 0.0  # attempts out at all servers
-    admitted: float = 0.0  # tries let in, this interval and usually
-    avg_admitted: float = 0.0
+    stall_at: float = -math.inf  # when this process last found that it had not run for a while
+    mean_load: float = 0.0  # typical number of other gateways' requests at a server
+    healthy: list[ServerState] = field(default_factory=list)  # servers that discovery lists as healthy
+    all_slow: bool = False  # whether the fleet as a whole is slow
+    rate: float = math.inf  # admission rate: requests/s that this gateway lets in
+    initial_rate: float = math.inf  # admission rate while nothing is known of the fleet
+    admit_tokens: float = 2.0  # token bucket of the admission rate
+    filled_at: float = 0.0  # when ``admit_tokens`` was last brought up to date
+    open: float = 0.0  # open attempts at all servers
+    admitted: float = 0.0  # requests let in during the current interval
+    avg_admitted: float = 0.0  # smoothed number of requests let in an interval
 
     def take_message_tokens(self, count: int, per_s: float) -> bool:
-        """Take room for some messages to single peers, of so many a second; a second's worth is saved at most."""
+        """Take tokens for ``count`` messages to single peers, if there are enough; at most one second's are saved."""
         available = min(per_s, self.set_message_tokens + per_s * (self.now - self.set_message_tokens_at) / 1000.0)
         self.set_message_tokens_at, self.set_message_tokens = self.now, available - count * (count <= available)
         return count <= available
 
     def add_call(self, name: int, call: CounterCall) -> None:
-        """Keep a call to the counter until its answer: answers for a name come in the order of the calls."""
+        """Keep a counter call until its reply comes: replies for a name come in the order of the calls."""
         self.pending_calls.setdefault(name, deque()).append(call)
 
     def take_call(self, name: int) -> CounterCall | None:
-        """Give the call that an answer belongs to."""
+        """Remove and return the call that a reply for ``name`` belongs to."""
         calls = self.pending_calls.get(name)
         if not calls:
             return None
@@ -332,9 +347,10 @@
         return call
 
     def refund(self, request: InFlightRequest) -> None:
-        """Give back the units of a request that has ended and was never sent on.
+        """Return the units of a request that has ended without reaching a server.
 
-        What the counter had granted goes back with the next call; what peers were not told of yet, they never are.
+        Units granted by the shared counter are returned with the next call. Units not yet reported to peers are
+        never reported.
         """
         customer = request.customer
         if request.reached_server or request.has_open:
@@ -351,7 +367,10 @@
                 self.unsent[customer.code] = max(0.0, self.unsent[customer.code] - request.units)
 
     def set_admit_share(self, code: int, percent: float, most: int) -> None:
-        """Keep a told share of demand, also for a customer that may come; a full table begins anew."""
+        """Keep the percentage of a customer's demand to admit, also for one not known here yet.
+
+        A table with ``most`` entries is cleared first, which bounds memory.
+        """
         if len(self.admit_shares) >= most:
             self.admit_shares.clear()
         self.admit_shares[code] = percent
@@ -359,7 +378,7 @@
             self.by_code[code].admit_share = min(1.0, percent / 100.0)
 
     def drop_idle(self, before: float) -> None:
-        """Drop the customers not seen since a time, and what was told of others, so that memory stays bounded."""
+        """Drop customers last seen, and reports of unknown ones received, before a time: this bounds memory."""
         for code, used in list(self.unknown_use.items()):
             if used[0][0] < before:
                 self.unknown_use[code] = [entry for entry in used if entry[0] >= before]
@@ -372,20 +391,21 @@
 
 
 def decay(value: float, rest: float, half_lives: float) -> float:
-    """Give what is left of a value on its way back to rest."""
+    """Return a value after exponential decay towards ``rest``."""
     return float(rest + (value - rest) * 0.5**half_lives)
 
 
 def spend(bucket: float, units: float, exact: bool = True) -> float:
-    """Give a store after requests of one unit or more: what goes beyond a quota takes nothing from it.
+    """Return a bucket's level after requests of at least one unit each: use beyond the quota takes nothing from it.
 
-    Not ``exact``, each takes what there is: news that is fresh finds little beyond, and caution gains more.
+    With ``exact`` only whole units are taken. Without it, use takes whatever fraction is left: recent reports contain
+    little use beyond the quota, and the cautious estimate gains more.
     """
     return bucket - max(0.0, min(units, math.floor(bucket) if exact else bucket))
 
 
 def replay(plan: Plan, used: list[tuple[float, float]], now: float) -> float:
-    """Give what is left of a store that was full before it was used at these times (ms) by so many units."""
+    """Return the level of a bucket that was full before ``used``: times (ms) and units, in order of time."""
     bucket, at = plan.burst, now
     for when, units in used:
         bucket = spend(min(plan.burst, bucket + plan.rate * max(0.0, when - at) / 1000.0), units)
