--- a/petrelhall/gateway/front.py
+++ b/petrelhall/gateway/front.py
@@ -1,4 +1,4 @@
-"""Where clients connect: takes their connections, answers on them, and ends them in good order."""
+"""The client-facing listener: accepts connections, serves requests on them and closes them gracefully."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from typing import Protocol
 
-from petrelhall.gateway.platform import READY
+from petrelhall.gateway.platform import HEALTH_PATH
 from petrelhall.gateway.requests import Answer, Request, RequestHandler, Served
 from petrelhall.http.h1 import MOST_INFLOWING, Broken, Flowing, Headers, Inflow, Message, ServerSide
 from petrelhall.http.room import Room
@@ -17,136 +17,156 @@
 from petrelhall.net.loop import Loop, Steps, describe, now_ms
 from petrelhall.net.stream import MOST_UNREAD, NO_DESCRIPTOR, Address, Stream, bound
 
-BACKLOG = 1024
-AT_ONCE = 64  # connections taken in one turn
-PAUSE_MS = 20.0  # in which no connection is taken when there are no descriptors
-# A first request must be whole within FIRST_MS of connecting, however slowly it trickles in, and a later one
-# within WHOLE_MS of its first byte; a connection without a request is kept for IDLE_MS.
-FIRST_REQUEST_TIMEOUT_MS, WHOLE_MS, IDLE_TIMEOUT_MS = 2200.0, 2200.0, 8000.0
-# Beyond that, a request is given time for what it has sent: clients may send a body at 64 kB/s after a head of
-# 2 s (the operators' days), so each byte come earns it the time of two at that pace. A trickle earns nothing.
-MS_PER_BYTE = 2 * 1000.0 / 64000.0
-SWEEP_INTERVAL_MS = 200.0  # between two looks for connections whose time is up
-EVICTION_BATCH = 8  # connections ended at once where there are too many, and more while many are seen to wait
-MOST_ROOM = 0.25  # of all clients: so many at most
-# What a request has waited for in the kernel is taken off its time from here on; an ordinary turn takes less.
-WAITED_MS = 20.0
-SEND_MS = 10000.0  # in which a client must have read its answer
-STALL_MS = 4000.0  # in which a flowing answer must move on, from the server and to the client
-# An answer may flow for FLOW_MS, and for as long again as its bytes take at 4 kB/s: a trickle ends some time.
-STREAM_TIMEOUT_MS, STREAM_MS_PER_BYTE = 30000.0, 1000.0 / 4000.0
-LINGER_MS = 400.0  # in which a client may read an answer that came before it had said all
-CROWDED_LINGER_TIMEOUT_MS = 50.0  # the same while others wait for its descriptor
-ASK_TO_LEAVE_MS, LISTENER_CLOSE_DELAY_MS = 450.0, 800.0  # after being told to end: clients still come for up to 400 ms
-# Where a newer process takes the new connections, idle ones stay until so long before the last answers are due:
-# whoever asks again by then hears with its answer that the connection ends, and no end crosses a request.
-LAST_ASK_MS = 700.0
-PART_MS = 5.0  # between two lots of idle connections that are ended, the longest idle first
-# After SIGTERM an upgrade's old process is killed once the longest deadline (3 s at most) and 0.7 s have passed:
-# what is taken after being told to end must have its answer before then, with time to write it.
-KILL_CAP_MS, KILL_AFTER_MS, WRITE_MS = 3000.0, 700.0, 250.0
-
-
-class Wording(Protocol):
-    """The platform's way to read requests and word answers."""
+LISTEN_BACKLOG = 1024
+ACCEPTS_PER_TURN = 64
+ACCEPT_PAUSE_MS = 20.0  # no connection is accepted for so long after the process ran out of descriptors
+
+# A first request must be complete within FIRST_REQUEST_TIMEOUT_MS of connecting, however slowly it arrives, and a
+# later one within REQUEST_TIMEOUT_MS of its first byte. An idle connection is kept for IDLE_TIMEOUT_MS.
+FIRST_REQUEST_TIMEOUT_MS = 2200.0
+REQUEST_TIMEOUT_MS = 2200.0
+IDLE_TIMEOUT_MS = 8000.0
+# Beyond these timeouts, a request gains time for the bytes received. On the operators' test days clients may send a
+# body at 64 kB/s after taking 2 s for the head, so each byte gains twice its time at that rate. A slow trickle of
+# bytes gains practically nothing.
+EXTRA_MS_PER_BYTE = 2 * 1000.0 / 64000.0
+SWEEP_INTERVAL_MS = 200.0  # between two scans for connections whose time is up
+
+# Connections closed at once at the limit of clients, or more while more clients wait; also the size of the batches in
+# which idle connections are closed at the end.
+EVICTION_BATCH = 8
+MAX_EVICTION_SHARE = 0.25  # of the limit of clients: the most that are closed at once
+# Time that a request has spent in the kernel's queue is subtracted from its deadline from this value on; an ordinary
+# turn of the loop takes less.
+MIN_QUEUEING_MS = 20.0
+SEND_TIMEOUT_MS = 10000.0  # a client must have read its answer by then
+STALL_TIMEOUT_MS = 4000.0  # a streamed answer must make progress within this time, from the server and to the client
+# A streamed answer may take STREAM_TIMEOUT_MS plus the time that its bytes take at 4 kB/s, so that an answer that
+# trickles in endlessly is cut off.
+STREAM_TIMEOUT_MS = 30000.0
+STREAM_MS_PER_BYTE = 1000.0 / 4000.0
+
+LINGER_TIMEOUT_MS = 400.0  # for a client to read an answer that was sent before its request was complete
+CROWDED_LINGER_TIMEOUT_MS = 50.0  # the same while other clients wait for the descriptor
+# Both after the request to stop: new clients still arrive for up to 400 ms.
+DRAIN_DELAY_MS = 450.0
+LISTENER_CLOSE_DELAY_MS = 800.0
+# After a handover, idle connections stay open until this long before the last answers are due. A client that sends a
+# request before then learns from its answer that the connection closes, so no close crosses a request.
+IDLE_CLOSE_LEAD_MS = 700.0
+IDLE_CLOSE_INTERVAL_MS = 5.0  # between two batches of idle connections that are closed, the longest idle first
+# After SIGTERM, the old process of an upgrade is killed once the longest deadline (at most 3 s) and 0.7 s have passed.
+# Requests accepted after SIGTERM must be answered before that, with time left to write the answer.
+KILL_DEADLINE_CAP_MS = 3000.0
+KILL_GRACE_MS = 700.0
+ANSWER_WRITE_MS = 250.0
+
+
+class ClientCodec(Protocol):
+    """Translates between HTTP messages and the gateway's requests and answers."""
 
     def parse_request(self, message: Message) -> Request | Broken:
-        """Read a request."""
+        """Parse a client's request, or say why it is rejected."""
 
-    def answer(self, answer: Answer | Broken) -> tuple[int, Headers, bytes]:
-        """Word an answer."""
+    def render_answer(self, answer: Answer | Broken) -> tuple[int, Headers, bytes]:
+        """Return the status, headers and body of an answer."""
 
 
 class Client:
-    """One client's connection."""
-
-    def __init__(self, stream: Stream, room: Room, vet: Callable[[Message], object]) -> None:
-        self.stream, self.http = stream, ServerSide(stream, room, vet)
-        self.busy = self.answered = self.begun = False  # one request in hand; any answered; the next begun
-        self.since = now_ms()  # when it connected, or was last answered
-        self.until = self.since + FIRST_REQUEST_TIMEOUT_MS  # when it is over, unless a request is whole by then
-        self.counted = 0  # bytes of the stream that came before this request
-        self.come, self.moved = 0, self.since  # bytes of it seen to have come, and when the last of them
+    """One client connection."""
+
+    def __init__(self, stream: Stream, body_budget: Room, vet: Callable[[Message], object]) -> None:
+        self.stream, self.http = stream, ServerSide(stream, body_budget, vet)
+        # A request is in flight; any request was answered; the first byte of the next request has arrived.
+        self.busy = self.answered = self.request_started = False
+        self.idle_since = now_ms()  # when it connected, or was last answered
+        self.expires_at = self.idle_since + FIRST_REQUEST_TIMEOUT_MS  # closed then, unless a request is complete
+        self.bytes_before_request = 0  # bytes received on the stream before the current request
+        # Bytes received on the stream when last checked, and the time at which that number last grew.
+        self.bytes_seen, self.progress_at = 0, self.idle_since
 
     def overdue(self) -> bool:
-        """Tell whether the time for a request that has begun is over: each byte earns some, silence none."""
+        """Return whether a started request has run out of time: received bytes extend it, a stall ends it."""
         now, received = now_ms(), self.stream.received
-        if received != self.come:
-            self.come, self.moved = received, now
-        earned = self.until + (received - self.counted) * MS_PER_BYTE
-        return now >= min(earned, max(self.until, self.moved + STALL_MS))
+        if received != self.bytes_seen:
+            self.bytes_seen, self.progress_at = received, now
+        extended = self.expires_at + (received - self.bytes_before_request) * EXTRA_MS_PER_BYTE
+        return now >= min(extended, max(self.expires_at, self.progress_at + STALL_TIMEOUT_MS))
 
     @property
     def gone(self) -> bool:
-        """Tell whether the client has closed."""
+        """Return whether the client has closed the connection."""
         return self.stream.left()
 
 
 class Listener:
-    """The listener and its clients."""
+    """Accepts clients on a listening socket and serves their requests."""
 
     def __init__(
         self,
         loop: Loop,
         address: Address,
-        wording: Wording,
+        codec: ClientCodec,
         request_handler: RequestHandler,
-        ready: Callable[[], bool],
+        is_ready: Callable[[], bool],
         counts: Counts,
         log: Callable[[str], None],
-        most: int,
-        room: Room,
+        max_clients: int,
+        body_budget: Room,
     ) -> None:
-        self.room = room  # for bodies and large answers
-        self.loop, self.wording, self.request_handler, self.ready = loop, wording, request_handler, ready
-        self.counts, self.log, self.most = counts, log, most
+        self.body_budget = body_budget  # memory for request bodies and large answers
+        self.loop, self.codec, self.request_handler, self.is_ready = loop, codec, request_handler, is_ready
+        self.counts, self.log, self.max_clients = counts, log, max_clients
         self.clients: set[Client] = set()
-        self.names: set[bytes] = set()  # of the requests in hand
-        self.leaving = False  # clients are asked to leave with their next answer
-        self.closing = False  # the listener is closed, or closes as soon as all that it holds is taken
-        self.parting = False  # idle clients are closed
-        self.lingering = 0  # connections that are ended and still drained
-        self.succeeded = False  # a newer process takes the new connections
-        self.end_by = float("inf")  # Unix ms by which what is taken must be answered
+        self.request_ids: set[bytes] = set()  # of the requests in flight
+        self.draining = False  # every answer says that its connection closes
+        self.closing = False  # the listening socket is closed, or will be once its queue has been accepted
+        self.closing_idle = False  # idle connections are closed
+        self.lingering = 0  # connections shut down for sending and still drained
+        self.handed_over = False  # a newer process accepts the new connections
+        self.answer_by = float("inf")  # Unix ms by which every accepted request must be answered
         self.on_empty: Callable[[], None] = lambda: None
         self.listener = bound(address)
-        self.listener.listen(BACKLOG)
-        self.accepting = self.starved = self.crowded = False
-        self.queued_since = self.watched_at = self.ready_at = now_ms()  # known empty; watched; told of (Unix ms)
-        self.accepted = 0  # connections taken since it was known to be empty
-        self.accept_more()
+        self.listener.listen(LISTEN_BACKLOG)
+        self.accepting = self.out_of_descriptors = self.at_capacity = False
+        # Unix ms: when the accept queue was last known to be empty, when the socket was last registered with the
+        # loop, and when the loop last reported it as readable.
+        self.queued_since = self.watched_since = self.readable_at = now_ms()
+        self.accepted = 0  # connections accepted since the queue was last known to be empty
+        self.resume_accepting()
         loop.after(SWEEP_INTERVAL_MS, self.sweep)
 
-    # Taking connections
+    # Accepting connections
 
-    def accept_more(self) -> None:
-        """Watch the listener."""
+    def resume_accepting(self) -> None:
+        """Register the listening socket with the loop."""
         if not self.accepting and not self.closing:
-            self.accepting, self.watched_at = True, now_ms()
-            self.loop.register(self.listener.fileno(), select.EPOLLIN, self.on_ready)
+            self.accepting, self.watched_since = True, now_ms()
+            self.loop.register(self.listener.fileno(), select.EPOLLIN, self.on_readable)
 
-    def accept_less(self) -> None:
-        """Let connections wait in the kernel: a listener that is ready without end would spin."""
+    def pause_accepting(self) -> None:
+        """Leave new connections in the kernel's queue; a socket that stays readable would make the loop spin."""
         if self.accepting:
             self.accepting = False
             self.loop.unregister(self.listener.fileno())
 
-    def on_ready(self, mask: int) -> None:
-        """Take what connections there are."""
-        if max(self.watched_at, self.ready_at) < self.loop.looked_before:  # the look before would have told of it
+    def on_readable(self, mask: int) -> None:
+        """Accept the waiting connections, up to ACCEPTS_PER_TURN."""
+        # If there had been a connection at the poll before, that poll would have reported it.
+        if max(self.watched_since, self.readable_at) < self.loop.looked_before:
             self.queued_since, self.accepted = self.loop.unseen_since, 0
-        self.ready_at = self.loop.looked_at
-        for _ in range(AT_ONCE):
+        self.readable_at = self.loop.looked_at
+        for _ in range(ACCEPTS_PER_TURN):
             if not self.accept():
                 return
 
     def accept(self) -> bool:
-        """Take one connection; False where there is none, or no room."""
-        if len(self.clients) >= self.most and not self.closing:
-            self.accept_less()
-            if not self.crowded:
-                self.crowded = True
-                self.loop.after(0.0, self.make_room)
+        """Accept one connection; returns False if none is waiting or none can be accepted now."""
+        if len(self.clients) >= self.max_clients and not self.closing:
+            self.pause_accepting()
+            if not self.at_capacity:
+                self.at_capacity = True
+                self.loop.after(0.0, self.evict_clients)
             return False
         try:
             sock, _ = self.listener.accept()
@@ -154,66 +174,68 @@
             self.queued_since, self.accepted = now_ms(), 0
             return False
         except OSError as error:
-            if self.listener.fileno() < 0:  # closed: nothing can come any more
+            if self.listener.fileno() < 0:  # the socket is closed: no connection can arrive any more
                 return False
             if error.errno in NO_DESCRIPTOR:
                 self.counts.add("connections", "no_descriptor")
-                self.starved = True
-                self.accept_less()
-                self.loop.after(PAUSE_MS, self.make_room)
+                self.out_of_descriptors = True
+                self.pause_accepting()
+                self.loop.after(ACCEPT_PAUSE_MS, self.evict_clients)
                 return False
-            return True  # that one has left already
+            return True  # this client has already disconnected
         self.counts.add("connections", "from_clients")
         self.accepted += 1
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         stream = Stream(self.loop, sock, lambda: None)
-        stream.tell_close = stream.sift = True  # a client that leaves behind a flood has left all the same
+        # A close must be noticed even behind a flood of unread bytes.
+        stream.tell_close = stream.sift = True
         stream.queued_since = self.queued_since
-        client = Client(stream, self.room, self.wording.parse_request)
+        client = Client(stream, self.body_budget, self.codec.parse_request)
         self.clients.add(client)
-        client.stream.notify = self.loop.spawn(self.converse(client)).wake
+        client.stream.notify = self.loop.spawn(self.serve_client(client)).wake
         return True
 
-    def make_room(self) -> None:
-        """Let go of some clients where there are too many, and go on.
+    def evict_clients(self) -> None:
+        """Close some connections at the limit of clients, then resume accepting.
 
-        First those that never asked for anything, longest there first: hundreds that say nothing must not
-        keep out those that ask. Then half requests, then whoever has been idle longest.
+        Connections that never sent a request go first, the oldest before the others: hundreds of silent connections
+        must not keep out clients with requests. Then follow incomplete requests, then the longest idle connections.
         """
-        self.crowded = False
-        if len(self.clients) >= self.most:
-            free = [client for client in self.clients if not client.busy]
-            free.sort(key=lambda c: (c.answered, c.http.begun, c.since))
-            # As many as have come without an end so far: where hundreds wait, eight at a time would let them wait
-            # for seconds. Those that are being ended hold their descriptors for a moment more: that many fewer.
-            wanted = max(EVICTION_BATCH, min(self.accepted, int(MOST_ROOM * self.most)))
-            free = free[: max(0, wanted - self.lingering)]
-            for client in free:
+        self.at_capacity = False
+        if len(self.clients) >= self.max_clients:
+            evictable = [client for client in self.clients if not client.busy]
+            evictable.sort(key=lambda c: (c.answered, c.http.begun, c.idle_since))
+            # Close as many as were accepted since the queue was last empty: with hundreds waiting, batches of eight
+            # would make them wait for seconds. Connections that still linger will free their descriptors in a
+            # moment, so that many fewer are closed.
+            wanted = max(EVICTION_BATCH, min(self.accepted, int(MAX_EVICTION_SHARE * self.max_clients)))
+            evictable = evictable[: max(0, wanted - self.lingering)]
+            for client in evictable:
                 self.counts.add("connections", "made_room")
-                client.until = 0.0
+                client.expires_at = 0.0
                 client.stream.notify()
-            self.crowded = True
-            self.loop.after(0.0 if free else PAUSE_MS, self.make_room)
+            self.at_capacity = True
+            self.loop.after(0.0 if evictable else ACCEPT_PAUSE_MS, self.evict_clients)
         else:
-            self.accept_more()
+            self.resume_accepting()
 
     def sweep(self) -> None:
-        """Wake the connections whose time is up; one look at all costs less than a timer for each."""
+        """Wake the connections whose time is up; one periodic scan costs less than a timer for each of them."""
         self.loop.after(SWEEP_INTERVAL_MS, self.sweep)
         now = now_ms()
         for client in self.clients:
-            if not client.busy and client.until <= now:
+            if not client.busy and client.expires_at <= now:
                 client.stream.notify()
 
-    # Conversations
+    # Serving connections
 
-    def converse(self, client: Client) -> Steps[None]:
-        """Serve one connection until either side ends it."""
+    def serve_client(self, client: Client) -> Steps[None]:
+        """Serve one connection until either side closes it."""
         try:
-            while (yield from self.exchange(client)):
+            while (yield from self.handle_next_request(client)):
                 pass
-        except Exception as error:  # one connection's fault is not the program's, and is answered
+        except Exception as error:  # an error on one connection must not stop the program, and is answered
             self.counts.add("answered", "internal_error")
             self.log(f"connection failed: {describe(error)}")
             client.http.answer(500, [], b"internal error\n", True)
@@ -222,144 +244,148 @@
             client.stream.close()
             client.http.free()
             self.clients.discard(client)
-            if self.closing and not self.clients and not self.starved:
+            if self.closing and not self.clients and not self.out_of_descriptors:
                 self.on_empty()
 
-    def exchange(self, client: Client) -> Steps[bool]:
-        """Take one request and answer it; False ends the connection."""
-        asked = yield from self.asked(client)
-        if asked is None:
-            # Who was never answered has nothing to lose by a reset, and there may be hundreds of them.
-            if (self.leaving or client.answered) and not client.gone:
-                yield from self.part(client)
+    def handle_next_request(self, client: Client) -> Steps[bool]:
+        """Read one request and answer it; returns False if the connection is to be closed."""
+        received = yield from self.next_request(client)
+        if received is None:
+            # A client that was never answered loses nothing by a reset, and there may be hundreds of them.
+            if (self.draining or client.answered) and not client.gone:
+                yield from self.close_gracefully(client)
             return False
         client.busy = True
         answer: Answer | Broken | None
-        if isinstance(asked, Message) and asked.target.partition(b"?")[0] == READY:
-            status, body = (200, b"ready\n") if self.ready() and not self.leaving else (503, b"not ready\n")
-            keep = client.http.answer(status, [], body, self.leaving)
+        if isinstance(received, Message) and received.target.partition(b"?")[0] == HEALTH_PATH:
+            status, body = (200, b"ready\n") if self.is_ready() and not self.draining else (503, b"not ready\n")
+            keep_alive = client.http.answer(status, [], body, self.draining)
         else:
-            request = self.wording.parse_request(asked) if isinstance(asked, Message) else asked
-            if isinstance(request, Request) and isinstance(asked, Message) and asked.rest is None:
-                request = without_wait(request, now_ms() - client.stream.came_since)
-            if isinstance(request, Request) and request.left_ms > self.end_by - now_ms():
-                request = replace(request, left_ms=max(1.0, self.end_by - now_ms()))
-            if isinstance(request, Request) and request.request_id in self.names:
-                request = Broken(400, "a request of that name is in hand")  # which goes on undisturbed
+            request = self.codec.parse_request(received) if isinstance(received, Message) else received
+            if isinstance(request, Request) and isinstance(received, Message) and received.rest is None:
+                request = subtract_queueing_time(request, now_ms() - client.stream.came_since)
+            if isinstance(request, Request) and request.remaining_ms > self.answer_by - now_ms():
+                request = replace(request, remaining_ms=max(1.0, self.answer_by - now_ms()))
+            if isinstance(request, Request) and request.request_id in self.request_ids:
+                # Only the duplicate is rejected; the first request proceeds.
+                request = Broken(400, "a request of that name is in hand")
             if isinstance(request, Broken):
-                if not self.counts.get("answered", f"bad_{request.status}"):  # the first of each, for on-call
+                # The first rejection of each status is logged for the engineer on call.
+                if not self.counts.get("answered", f"bad_{request.status}"):
                     self.log(f"first request answered {request.status}: {request.reason}")
                 self.counts.add("answered", f"bad_{request.status}")
                 answer = request
             else:
-                rest = asked.rest if isinstance(asked, Message) else None
-                self.names.add(request.request_id)
-                if rest is not None:
-                    self.receive(client, rest)
+                body_rest = received.rest if isinstance(received, Message) else None
+                self.request_ids.add(request.request_id)
+                if body_rest is not None:
+                    self.start_streaming_body(client, body_rest)
                 try:
                     answer = yield from self.request_handler.serve(request, client)
                 finally:
-                    self.names.discard(request.request_id)
-                    if rest is not None:
-                        self.room.flows -= 1
+                    self.request_ids.discard(request.request_id)
+                    if body_rest is not None:
+                        self.body_budget.flows -= 1
                         client.stream.keep, client.stream.sift = MOST_UNREAD, True
                 if answer is None:
                     return False
-                if rest is not None and rest.broken is not None:  # its own doing, whatever became of the attempt
-                    self.counts.add("answered", f"bad_{rest.broken.status}")
-                    answer = asked = rest.broken
-            last = self.leaving or isinstance(asked, Broken) or client.http.receiving or client.stream.flooded > 0
+                # A body that the client broke off is the client's error, whatever became of the attempt.
+                if body_rest is not None and body_rest.broken is not None:
+                    self.counts.add("answered", f"bad_{body_rest.broken.status}")
+                    answer = received = body_rest.broken
+            last = self.draining or isinstance(received, Broken) or client.http.receiving or client.stream.flooded > 0
             if isinstance(answer, Served) and isinstance(answer.reply, Flowing):
-                keep = yield from self.flow(client, answer.reply, last)
+                keep_alive = yield from self.stream_answer(client, answer.reply, last)
             else:
-                keep = client.http.answer(*self.wording.answer(answer), last)
+                keep_alive = client.http.answer(*self.codec.render_answer(answer), last)
         client.http.free()
-        yield from self.sent(client)
-        keep = keep and not client.stream.flooded
-        if not keep and not (self.crowded and isinstance(asked, Broken) and asked.status == 408):
+        yield from self.wait_until_sent(client)
+        keep_alive = keep_alive and not client.stream.flooded
+        if not keep_alive and not (self.at_capacity and isinstance(received, Broken) and received.status == 408):
             yield from self.linger(client, client.http.receiving)
-        client.busy, client.answered, client.begun, client.since = False, True, False, now_ms()
-        client.until, client.counted = client.since + IDLE_TIMEOUT_MS, client.stream.received
-        return keep and not client.gone
+        client.busy, client.answered, client.request_started, client.idle_since = False, True, False, now_ms()
+        client.expires_at, client.bytes_before_request = client.idle_since + IDLE_TIMEOUT_MS, client.stream.received
+        return keep_alive and not client.gone
 
-    def asked(self, client: Client) -> Steps[Message | Broken | None]:
-        """Wait for a whole request; None where the connection ends between requests."""
+    def next_request(self, client: Client) -> Steps[Message | Broken | None]:
+        """Wait for a complete request; returns None if the connection ends between requests."""
         while True:
-            asked = client.http.request()
-            if asked is not None or client.gone:
-                return asked
-            begun, now = client.http.begun, now_ms()
-            if begun and not client.begun:
-                client.begun = True
+            received = client.http.request()
+            if received is not None or client.gone:
+                return received
+            started, now = client.http.begun, now_ms()
+            if started and not client.request_started:
+                client.request_started = True
                 if client.answered:
-                    client.until = now + WHOLE_MS
-            if client.overdue() if begun else now >= client.until or self.parting:
-                if begun:
+                    client.expires_at = now + REQUEST_TIMEOUT_MS
+            if client.overdue() if started else now >= client.expires_at or self.closing_idle:
+                if started:
                     return Broken(408, "request did not come whole")
-                # What the kernel already holds is taken: it is answered before the connection ends. A client that
-                # was accepted in this turn may have closed behind it long ago, which counts first.
+                # Read what the kernel already holds, so that it is answered before the connection closes. A client
+                # accepted in this turn may have closed long ago right after its request; the close takes precedence.
                 client.stream.look()
                 if not client.stream.incoming:
                     return None
                 continue
             yield
 
-    def receive(self, client: Client, rest: Inflow) -> None:
-        """Make ready to pass a body on as it comes: little of it is held, and its client must go on sending."""
+    def start_streaming_body(self, client: Client, body_rest: Inflow) -> None:
+        """Set up streaming of a request body: little of it is buffered, and the client must keep sending."""
         self.counts.add("answered", "bodies_passed_on")
-        self.room.flows += 1
-        client.stream.keep, client.stream.sift = self.room.each, False
-        rest.late = client.overdue
+        self.body_budget.flows += 1
+        client.stream.keep, client.stream.sift = self.body_budget.each, False
+        body_rest.late = client.overdue
 
-    def flow(self, client: Client, answer: Flowing, last: bool) -> Steps[bool]:
-        """Pass an answer on as it comes, reading the server only as fast as the client reads.
+    def stream_answer(self, client: Client, answer: Flowing, last: bool) -> Steps[bool]:
+        """Forward an answer as it arrives, reading from the server only as fast as the client reads.
 
-        A server that says nothing more for STALL_MS, or a client that reads nothing for as long, ends both: the
-        client cannot be told otherwise that the rest will not come.
+        If the server sends nothing or the client reads nothing for STALL_TIMEOUT_MS, both connections are closed:
+        there is no other way to tell the client that the rest will not come.
         """
         answer.taken = True
-        self.room.flows += 1
+        self.body_budget.flows += 1
         source, wake = answer.source, self.loop.this_task().wake
-        source.stream.notify, source.stream.keep = wake, self.room.each
-        kind = answer.headers.get(b"content-type")
-        # Only answers that served are passed on: the status is the server's 200.
-        client.http.begin(answer.status, [(b"Content-Type", kind)] if kind else [], answer.length, last)
-        data, whole, keep = answer.first, False, False
-        stall, last_ms = now_ms() + STALL_MS, now_ms() + STREAM_TIMEOUT_MS
-        timer = self.loop.at(stall, wake)
+        source.stream.notify, source.stream.keep = wake, self.body_budget.each
+        content_type = answer.headers.get(b"content-type")
+        # Only successful answers are streamed: the status is the server's 200.
+        client.http.begin(answer.status, [(b"Content-Type", content_type)] if content_type else [], answer.length, last)
+        data, complete, keep_alive = answer.first, False, False
+        stalled_at, expires_at = now_ms() + STALL_TIMEOUT_MS, now_ms() + STREAM_TIMEOUT_MS
+        timer = self.loop.at(stalled_at, wake)
         try:
             while not client.gone:
-                if data or whole:
-                    keep = client.http.more(data, whole)
-                    last_ms += len(data) * STREAM_MS_PER_BYTE
-                    data, stall = b"", now_ms() + STALL_MS
+                if data or complete:
+                    keep_alive = client.http.more(data, complete)
+                    expires_at += len(data) * STREAM_MS_PER_BYTE
+                    data, stalled_at = b"", now_ms() + STALL_TIMEOUT_MS
                     timer.cancel()
-                    timer = self.loop.at(stall, wake)
-                    if whole:
-                        return keep
-                if len(client.stream.outgoing) < self.room.each:
-                    got = source.flow()
-                    if isinstance(got, Broken):
+                    timer = self.loop.at(stalled_at, wake)
+                    if complete:
+                        return keep_alive
+                if len(client.stream.outgoing) < self.body_budget.each:
+                    part = source.flow()
+                    if isinstance(part, Broken):
                         break
-                    data, whole = got
-                    if data or whole:
+                    data, complete = part
+                    if data or complete:
                         continue
-                if now_ms() >= min(stall, last_ms):
+                if now_ms() >= min(stalled_at, expires_at):
                     break
                 yield
-            client.stream.abort()  # cut off: to a client of HTTP/1.0, an orderly end would be the end of the answer
+            # Reset: an HTTP/1.0 client would take an orderly close for the end of the answer.
+            client.stream.abort()
             return False
         finally:
             timer.cancel()
-            self.room.flows -= 1
+            self.body_budget.flows -= 1
             source.stream.keep = MOST_UNREAD
-            answer.done(whole)
+            answer.done(complete)
 
-    def sent(self, client: Client) -> Steps[None]:
-        """Wait until an answer has gone out; a client that does not read it may not stay for ever."""
+    def wait_until_sent(self, client: Client) -> Steps[None]:
+        """Wait until the answer is written; a client that does not read it is dropped after SEND_TIMEOUT_MS."""
         if not client.stream.outgoing:
             return
-        until = now_ms() + SEND_MS
+        until = now_ms() + SEND_TIMEOUT_MS
         timer = self.loop.at(until, self.loop.this_task().wake)
         while client.stream.outgoing and not client.gone:
             if now_ms() >= until:
@@ -369,18 +395,24 @@
         timer.cancel()
 
     def linger(self, client: Client, sending: bool = False) -> Steps[None]:
-        """End our side first: closing on unread bytes would reset the connection and could eat the answer.
+        """Shut down our side and wait for the client to close.
 
-        A client that is still ``sending`` a body nobody wants any more is heard out, for as long as it keeps up the
-        pace of one that is wanted: many read the answer only then.
+        Closing a socket with unread bytes would reset the connection, and the client could lose the answer. If the
+        client is still ``sending`` a body that is no longer needed, the body is read and discarded as long as it
+        keeps the rate required of any body: many clients read the answer only after sending all of it.
         """
         client.stream.discard()
-        while sending and not client.gone and not client.overdue() and client.come - client.counted < MOST_INFLOWING:
+        while (
+            sending
+            and not client.gone
+            and not client.overdue()
+            and client.bytes_seen - client.bytes_before_request < MOST_INFLOWING
+        ):
             timer = self.loop.after(SWEEP_INTERVAL_MS, self.loop.this_task().wake)
             yield
             timer.cancel()
         client.stream.finish_sending()
-        until = now_ms() + (CROWDED_LINGER_TIMEOUT_MS if self.crowded else LINGER_MS)
+        until = now_ms() + (CROWDED_LINGER_TIMEOUT_MS if self.at_capacity else LINGER_TIMEOUT_MS)
         timer = self.loop.at(until, self.loop.this_task().wake)
         self.lingering += 1
         try:
@@ -390,81 +422,84 @@
             self.lingering -= 1
             timer.cancel()
 
-    def part(self, client: Client) -> Steps[None]:
-        """End an idle connection of a process that leaves, and count the request that the end has crossed."""
-        client.busy, came = True, client.stream.received
+    def close_gracefully(self, client: Client) -> Steps[None]:
+        """Close an idle connection, and count a request that crossed the close."""
+        client.busy, received_before = True, client.stream.received
         yield from self.linger(client)
-        if client.stream.received > came:
+        if client.stream.received > received_before:
             self.counts.add("connections", "end_crossed_request")
 
-    # The end
+    # Shutdown
 
     def hand_over(self) -> None:
-        """A newer process takes the new connections: listen no more, and ask clients to leave with each answer.
+        """Stop listening, since a newer process accepts the new connections, and drain the existing ones.
 
-        Who is idle stays, for as long as it is known to be safe: ended at once, some ends would cross a request.
+        Idle connections stay open for as long as is safe: closing them now would cross some clients' requests.
         """
-        self.leaving = self.succeeded = True
+        self.draining = self.handed_over = True
         self.close()
 
     def stop(self, longest_ms: float) -> None:
-        """Begin the end: serve on for as long as clients may still come, then end what is idle.
+        """Begin the shutdown: keep serving while clients may still connect, then close idle connections.
 
-        ``longest_ms`` is the longest deadline of any class: with it the time of a kill is known.
+        ``longest_ms`` is the longest deadline of any request class; the time at which the process is killed
+        follows from it.
         """
-        self.end_by = now_ms() + min(longest_ms, KILL_CAP_MS) + KILL_AFTER_MS - WRITE_MS
-        self.request_handler.end_all_by(self.end_by)
-        if self.succeeded:
-            self.loop.at(self.end_by - LAST_ASK_MS, self.part_some)
+        self.answer_by = now_ms() + min(longest_ms, KILL_DEADLINE_CAP_MS) + KILL_GRACE_MS - ANSWER_WRITE_MS
+        self.request_handler.answer_all_by(self.answer_by)
+        if self.handed_over:
+            self.loop.at(self.answer_by - IDLE_CLOSE_LEAD_MS, self.close_longest_idle)
         else:
-            self.loop.after(ASK_TO_LEAVE_MS, self.ask_to_leave)
+            self.loop.after(DRAIN_DELAY_MS, self.start_draining)
             self.loop.after(LISTENER_CLOSE_DELAY_MS, self.close_idle_connections)
 
-    def ask_to_leave(self) -> None:
-        """Tell clients with their next answer that it is the last."""
-        self.leaving = True
+    def start_draining(self) -> None:
+        """Mark every further answer as the last one on its connection."""
+        self.draining = True
 
     def close_idle_connections(self) -> None:
-        """Listen no more, and end the idle connections at once."""
-        self.parting = True
+        """Stop listening and close all idle connections at once."""
+        self.closing_idle = True
         self.close()
         for client in list(self.clients):
             client.stream.notify()
 
-    def part_some(self) -> None:
-        """End a few idle connections, the longest idle first, and more soon: each is looked at right before.
+    def close_longest_idle(self) -> None:
+        """Close a batch of idle connections, the longest idle first, and schedule the next batch.
 
-        Whoever has begun a request is not idle: it ends with its answer.
+        Each connection is checked for a request right before it is closed. One with a partly received request is
+        not idle: it closes with its answer.
         """
         idle = sorted(
             (client for client in self.clients if not client.busy and not client.http.begun),
-            key=lambda client: client.since,
+            key=lambda client: client.idle_since,
         )
         for client in idle[:EVICTION_BATCH]:
-            client.until = 0.0
+            client.expires_at = 0.0
             client.stream.notify()
         if idle:
-            self.loop.after(PART_MS, self.part_some)
+            self.loop.after(IDLE_CLOSE_INTERVAL_MS, self.close_longest_idle)
 
     def close(self) -> None:
-        """Take the connections that the kernel holds, and listen no more; again, it changes nothing."""
-        self.closing, self.starved = True, False
-        self.accept_less()
+        """Accept the connections left in the kernel's queue, then close the listening socket. Idempotent."""
+        self.closing, self.out_of_descriptors = True, False
+        self.pause_accepting()
         while self.accept():
             pass
-        if self.starved:  # connections wait that there was no descriptor for: as some close, take them
-            self.loop.after(PAUSE_MS, self.close)
+        if self.out_of_descriptors:  # accept the remaining connections as descriptors become free
+            self.loop.after(ACCEPT_PAUSE_MS, self.close)
         else:
             self.listener.close()
-        if not self.clients and not self.starved:
+        if not self.clients and not self.out_of_descriptors:
             self.on_empty()
 
 
-def without_wait(request: Request, waited_ms: float) -> Request:
-    """Take off a request's time what it has waited for in the kernel since its last byte may have come.
+def subtract_queueing_time(request: Request, waited_ms: float) -> Request:
+    """Subtract from a request's remaining time what it may have waited in the kernel since its last byte arrived.
 
-    A client counts its time from that byte. Servers and the module must not be told more than is left of it.
+    The client's deadline counts from that byte. Servers and the decision module must not be given more time than
+    is left.
     """
-    if waited_ms < WAITED_MS:
+    if waited_ms < MIN_QUEUEING_MS:
         return request
-    return replace(request, left_ms=max(1.0, request.left_ms - waited_ms))
+    return replace(request, remaining_ms=max(1.0, request.remaining_ms - waited_ms))
--- a/petrelhall/gateway/platform.py
+++ b/petrelhall/gateway/platform.py
@@ -1,4 +1,4 @@
-"""The platform's own words: headers, query, deadlines and load reports, put over HTTP/1.1 messages."""
+"""The platform's HTTP conventions: its headers, query, deadlines and load reports, on top of HTTP/1.1 messages."""
 
 from __future__ import annotations
 
@@ -11,15 +11,17 @@
 from petrelhall.http.h1 import Broken, Headers, Inflow, Message, Reply
 from petrelhall.links.attempt import Verdict
 
-PATH, READY = b"/api", b"/healthz"
-DEADLINE = re.compile(rb"(\d{1,9}(?:\.\d{1,6})?)([mu])", re.ASCII)
-FIGURE = re.compile(r"\d{1,12}(?:\.\d{1,12})?(?:e-?\d{1,2})?", re.ASCII)
-NUMBER, WHOLE = re.compile(rb"\d{1,9}(?:\.\d{1,9})?"), re.compile(rb"\d{1,4}")  # not all that Python reads
-METERING = {b"units": NUMBER, b"spread": WHOLE, b"first": WHOLE}
-CUSTOMER = re.compile(rb"[0-9a-fA-F]{16}")
-MOST_CUSTOMERS = 2**33
-ONCE = frozenset(
-    (  # headers that may come once only
+API_PATH = b"/api"
+HEALTH_PATH = b"/healthz"
+# Stricter than float() and int(), which also accept signs, underscores, nan and the like.
+DEADLINE_FORM = re.compile(rb"(\d{1,9}(?:\.\d{1,6})?)([mu])", re.ASCII)
+LOAD_VALUE_FORM = re.compile(r"\d{1,12}(?:\.\d{1,12})?(?:e-?\d{1,2})?", re.ASCII)
+DECIMAL_FORM, INTEGER_FORM = re.compile(rb"\d{1,9}(?:\.\d{1,9})?"), re.compile(rb"\d{1,4}")
+METERING_FORMS = {b"units": DECIMAL_FORM, b"spread": INTEGER_FORM, b"first": INTEGER_FORM}
+CUSTOMER_FORM = re.compile(rb"[0-9a-fA-F]{16}")
+CUSTOMER_CODE_LIMIT = 2**33
+SINGLE_VALUED_HEADERS = frozenset(
+    (  # headers that must not be repeated
         b"host",
         b"x-request-id",
         b"x-class",
@@ -31,128 +33,141 @@
         b"content-type",
     )
 )
-MOST_METERED = 512  # values kept
-PASSED_ON = (b"host", b"x-request-id", b"idempotency-key", b"content-type")
-EARLY_MS = 15.0  # a deadline counts from the client's send: the way here, the way back and our own turn
-# Names of load figures on the sockets, and in the settings.
-FIGURES = {"inflight": "rif", "queue": "q", "util": "busy", "latency_ms": "lat_ms", "qps": "rate", "eps": "fail_rate"}
-REASONS = {400: b"bad request", 404: b"not found", 408: b"too slow", 413: b"body too large"}
-
-
-class Refusal(ValueError):
-    """A request that is not in the platform's form."""
+METERING_CACHE_SIZE = 512  # parsed X-Metering values
+FORWARDED_HEADERS = (b"host", b"x-request-id", b"idempotency-key", b"content-type")
+# The client's deadline counts from when it sends: this covers the network both ways and our own processing.
+DEADLINE_MARGIN_MS = 15.0
+# From the name of a load value in HTTP headers to its name in the settings.
+LOAD_VALUE_NAMES = {
+    "inflight": "rif",
+    "queue": "q",
+    "util": "busy",
+    "latency_ms": "lat_ms",
+    "qps": "rate",
+    "eps": "fail_rate",
+}
+REASON_BODIES = {400: b"bad request", 404: b"not found", 408: b"too slow", 413: b"body too large"}
+
+
+class InvalidRequest(ValueError):
+    """A request that does not follow the platform's conventions."""
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardedRequest:
-    """A request's message and what of its headers goes on to servers."""
+    """A client's message and the headers that are forwarded to servers."""
 
     message: Message
     headers: Headers
 
 
 class Platform:
-    """Reads and words messages for one set of settings."""
+    """Parses requests and load reports and renders answers and attempts, for one set of settings."""
 
     def __init__(self, settings: api.Settings, classes: tuple[str, ...], plans: tuple[str, ...]) -> None:
         self.settings = settings
         self.deadlines = tuple(kind.deadline_ms for kind in settings.classes)
         self.classes = {name.encode(): index for index, name in enumerate(classes)}
         self.plans = {name.encode(): index for index, name in enumerate(plans)}
-        self.figures = frozenset(settings.report_names)
-        self.metered: dict[bytes, tuple[float, int, int]] = {}
+        self.load_values = frozenset(settings.report_names)
+        self.metering_cache: dict[bytes, tuple[float, int, int]] = {}
 
     # Clients
 
     def parse_request(self, message: Message) -> Request | Broken:
-        """Read a client's request; one that is not in the platform's form goes no further."""
+        """Parse a client's request; an invalid one is rejected here."""
         path, _, query = message.target.partition(b"?")
-        if path != PATH:
+        if path != API_PATH:
             return Broken(404, "unknown path")
         headers = message.headers
         try:
-            if message.repeated & ONCE:  # we and a server could each read another of the two
-                raise Refusal("a header came twice")
-            index = self.classes.get(headers.get(b"x-class", b""))
+            if message.repeated & SINGLE_VALUED_HEADERS:  # the gateway and a server might each use a different one
+                raise InvalidRequest("a header came twice")
+            class_index = self.classes.get(headers.get(b"x-class", b""))
             plan = self.plans.get(headers.get(b"x-contract", b""))
-            if index is None or plan is None:
-                raise Refusal("X-Class or X-Contract missing or unknown")
+            if class_index is None or plan is None:
+                raise InvalidRequest("X-Class or X-Contract missing or unknown")
             if not headers.get(b"x-request-id"):
-                raise Refusal("X-Request-Id missing")
-            effect = self.settings.classes[index].effect
-            safe = effect is api.Effect.REPEATABLE
-            if message.method != (b"GET" if safe else b"POST") or (safe and (message.body or message.rest)):
-                raise Refusal("the class asks for another method, or for no body")
+                raise InvalidRequest("X-Request-Id missing")
+            effect = self.settings.classes[class_index].effect
+            repeatable = effect is api.Effect.REPEATABLE
+            if message.method != (b"GET" if repeatable else b"POST") or (repeatable and (message.body or message.rest)):
+                raise InvalidRequest("the class asks for another method, or for no body")
             keyed = effect is api.Effect.KEYED
             if keyed and not headers.get(b"idempotency-key"):
-                raise Refusal("Idempotency-Key missing")
-            units, spread, first = self.metering(headers.get(b"x-metering", b""))
-            left = min(deadline(headers.get(b"x-deadline", b"")), self.deadlines[index])
+                raise InvalidRequest("Idempotency-Key missing")
+            units, set_size, set_first = self.metering(headers.get(b"x-metering", b""))
+            remaining_ms = min(parse_deadline(headers.get(b"x-deadline", b"")), self.deadlines[class_index])
             return Request(
-                index,
+                class_index,
                 plan,
-                customer(query),
-                left,
+                parse_customer(query),
+                remaining_ms,
                 units,
-                spread,
+                set_size,
                 headers.get(b"x-retry") == b"1",
-                ForwardedRequest(message, passed_on(message)),
+                ForwardedRequest(message, forwarded_headers(message)),
                 headers[b"x-request-id"],
-                safe,
-                first,
+                repeatable,
+                set_first,
             )
-        except Refusal as error:
+        except InvalidRequest as error:
             return Broken(400, str(error))
 
     def metering(self, value: bytes) -> tuple[float, int, int]:
-        """Read the units and the customer's set, size and first; the same few values come again and again."""
-        read = self.metered.get(value)
-        if read is None:
-            read = self.read_metering(value)
-            if len(self.metered) >= MOST_METERED:
-                self.metered.clear()
-            self.metered[value] = read
-        return read
-
-    def read_metering(self, value: bytes) -> tuple[float, int, int]:
-        """Read them anew."""
+        """Return the units and the size and first gateway of the customer's set; cached, as few values recur often."""
+        parsed = self.metering_cache.get(value)
+        if parsed is None:
+            parsed = self.parse_metering(value)
+            if len(self.metering_cache) >= METERING_CACHE_SIZE:
+                self.metering_cache.clear()
+            self.metering_cache[value] = parsed
+        return parsed
+
+    def parse_metering(self, value: bytes) -> tuple[float, int, int]:
+        """Parse an X-Metering header."""
         fields = dict(part.strip().partition(b"=")[::2] for part in value.split(b","))
-        told = value.count(b"=") == len(fields)  # each once
-        if not told or any(not form.fullmatch(fields.get(name, b"")) for name, form in METERING.items()):
-            raise Refusal("X-Metering missing or malformed")
-        units, spread, first = float(fields[b"units"]), int(fields[b"spread"]), int(fields[b"first"])
-        gateways, largest = self.settings.gateways, self.settings.largest_units
-        if not (0.0 < units <= largest and 0 < spread <= gateways and 0 <= first < gateways):
-            raise Refusal("X-Metering out of range")
-        return units, spread, first
-
-    def answer(self, answer: Answer | Broken) -> tuple[int, Headers, bytes]:
-        """Word an answer to a client."""
+        no_duplicates = value.count(b"=") == len(fields)
+        if not no_duplicates or any(not form.fullmatch(fields.get(name, b"")) for name, form in METERING_FORMS.items()):
+            raise InvalidRequest("X-Metering missing or malformed")
+        units, set_size, set_first = float(fields[b"units"]), int(fields[b"spread"]), int(fields[b"first"])
+        gateways, largest_units = self.settings.gateways, self.settings.largest_units
+        if not (0.0 < units <= largest_units and 0 < set_size <= gateways and 0 <= set_first < gateways):
+            raise InvalidRequest("X-Metering out of range")
+        return units, set_size, set_first
+
+    def render_answer(self, answer: Answer | Broken) -> tuple[int, Headers, bytes]:
+        """Return the status, headers and body of an answer to a client."""
         if isinstance(answer, Served):
-            kind = answer.reply.headers.get(b"content-type")
-            return 200, [(b"Content-Type", kind)] if kind else [], answer.reply.body
+            content_type = answer.reply.headers.get(b"content-type")
+            return 200, [(b"Content-Type", content_type)] if content_type else [], answer.reply.body
         if isinstance(answer, Refused):
             return 429, [(b"Retry-After", b"%.3f" % (answer.retry_after_ms / 1000.0))], b"try again later\n"
         if isinstance(answer, Unsure):
             return 503, [(b"Retry-After", b"%.3f" % (answer.retry_after_ms / 1000.0))], b"policy not known here\n"
         if isinstance(answer, Failed):
             return 502, [], answer.reason.encode() + b"\n"
-        return answer.status, [], REASONS.get(answer.status, b"bad request") + b"\n"
+        return answer.status, [], REASON_BODIES.get(answer.status, b"bad request") + b"\n"
 
     # Servers
 
     def outgoing(self, message: ForwardedRequest, wait_ms: float) -> tuple[bytes, bytes, Headers, bytes]:
-        """Word an attempt: all that the client sent unchanged, and how long we wait."""
-        asked = message.message
+        """Return method, target, headers and body of an attempt: the client's request and the time left for it."""
+        received = message.message
         headers = [*message.headers, (b"X-Deadline", b"%dm" % max(1, int(wait_ms)))]
-        return asked.method, asked.target, headers, asked.body if asked.rest is None else asked.rest.first
+        return (
+            received.method,
+            received.target,
+            headers,
+            received.body if received.rest is None else received.rest.first,
+        )
 
     def rest(self, message: ForwardedRequest) -> Inflow | None:
-        """Give the rest of a body that is passed on as it comes, if there is one."""
+        """Return the rest of a streamed request body, or None if the message has none."""
         return message.message.rest if isinstance(message, ForwardedRequest) else None
 
     def verdict(self, reply: Reply) -> Verdict:
-        """Read a server's answer; only its own word that the request did not run is proof of that."""
+        """Interpret a server's reply; only its explicit X-Not-Run header proves that the request did not run."""
         report = self.parse_load_report(reply.headers.get(b"x-load", b""))
         if reply.status == 200:
             return Verdict(Ending.OK, report)
@@ -161,44 +176,44 @@
         return Verdict(Ending.ERROR, report)
 
     def parse_load_report(self, value: bytes) -> dict[str, float]:
-        """Read a load report: a word, then fields; those that the settings do not name are passed over.
+        """Parse a load report: a word followed by fields; those that the settings do not name are ignored.
 
-        A report with a figure that is not a number from 0 on is no report: one nan in a server's cost would
-        keep the module from ever choosing it.
+        A report with any value that is not a non-negative number is ignored as a whole: a single NaN in a server's
+        cost would keep the decision module from ever choosing it.
         """
         report = {}
         for part in value.decode("latin-1").replace(",", " ").split():
             name, equals, number = part.partition("=")
-            name = FIGURES.get(name, name)
-            if equals and name in self.figures:
-                if not FIGURE.fullmatch(number):
+            name = LOAD_VALUE_NAMES.get(name, name)
+            if equals and name in self.load_values:
+                if not LOAD_VALUE_FORM.fullmatch(number):
                     return {}
                 report[name] = float(number)
         return report
 
 
-def customer(query: bytes) -> str:
-    """Read the customer out of the query."""
-    named = [part[7:] for part in query.split(b"&") if part.startswith(b"client=")]
-    if len(named) != 1 or not CUSTOMER.fullmatch(named[0]) or int(named[0], 16) >= MOST_CUSTOMERS:
-        raise Refusal("client missing or malformed")
-    return named[0].decode("ascii").lower()
+def parse_customer(query: bytes) -> str:
+    """Return the customer named in the query, in lower case."""
+    values = [part[7:] for part in query.split(b"&") if part.startswith(b"client=")]
+    if len(values) != 1 or not CUSTOMER_FORM.fullmatch(values[0]) or int(values[0], 16) >= CUSTOMER_CODE_LIMIT:
+        raise InvalidRequest("client missing or malformed")
+    return values[0].decode("ascii").lower()
 
 
-def deadline(value: bytes) -> float:
-    """Read a deadline and give the milliseconds that we have."""
-    read = DEADLINE.fullmatch(value.strip())
-    if read is None:
-        raise Refusal("X-Deadline missing or malformed")
-    left = float(read[1]) / (1000.0 if read[2] == b"u" else 1.0)
-    if left <= 0.0:
-        raise Refusal("X-Deadline must be above 0")
-    return max(1.0, left - EARLY_MS)
+def parse_deadline(value: bytes) -> float:
+    """Return the milliseconds left until the client's deadline, less the margin."""
+    match = DEADLINE_FORM.fullmatch(value.strip())
+    if match is None:
+        raise InvalidRequest("X-Deadline missing or malformed")
+    left_ms = float(match[1]) / (1000.0 if match[2] == b"u" else 1.0)
+    if left_ms <= 0.0:
+        raise InvalidRequest("X-Deadline must be above 0")
+    return max(1.0, left_ms - DEADLINE_MARGIN_MS)
 
 
-def passed_on(message: Message) -> Headers:
-    """Give the headers that go on to a server; a body kept whole goes on with its length."""
-    headers: Headers = [(name, message.headers[name]) for name in PASSED_ON if name in message.headers]
+def forwarded_headers(message: Message) -> Headers:
+    """Return the headers that are forwarded to a server; a buffered body is sent with its length."""
+    headers: Headers = [(name, message.headers[name]) for name in FORWARDED_HEADERS if name in message.headers]
     if message.rest is not None:
         length = message.rest.length
         headers.append((b"Transfer-Encoding", b"chunked") if length is None else (b"Content-Length", b"%d" % length))
--- a/petrelhall/gateway/requests.py
+++ b/petrelhall/gateway/requests.py
@@ -1,7 +1,7 @@
-"""The life of one request, from being taken to its one final answer.
+"""The lifecycle of a request, from its arrival to its one final answer.
 
-Nothing here knows a protocol: a front hands in a ``Request`` and a ``Caller`` and words the ``Answer``; the
-servers' side carries the ``message`` that the front made.
+This module is independent of the protocol: the listener passes in a ``Request`` and a ``Caller`` and renders the
+``Answer``; the connection pool sends the ``message`` that the listener's codec built.
 """
 
 from __future__ import annotations
@@ -19,59 +19,60 @@
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, Steps, now_ms
 
-UNSURE_MS = 500.0  # after which to ask again, where the policy in force is not known: by then it mostly is
-OVERDUE_MS = 5.0  # after its own last moment a request is answered even if the module said nothing
+# Retry-After while it is unknown which policy is in force: by then it usually is known.
+UNKNOWN_POLICY_RETRY_MS = 500.0
+ANSWER_GRACE_MS = 5.0  # past its deadline a request is answered even if the decision module has not decided
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """What a client asks, in the module's terms; ``message`` is what the servers are sent."""
+    """A client's request in the decision module's terms; ``message`` is what servers are sent."""
 
     request_class: int
     plan: int
     customer: str
-    left_ms: float
+    remaining_ms: float
     units: float
     set_size: int
-    repeat: bool
+    is_retry: bool
     message: Any
-    request_id: bytes = b""  # the client's own, none other in hand has it
-    free: bool = True  # to run it twice costs nothing
+    request_id: bytes = b""  # chosen by the client; unique among the requests in flight
+    repeatable: bool = True  # running it twice does no harm
     set_first: int = 0  # number of the first gateway of the customer's set
 
 
 class Caller(Protocol):
-    """Whoever waits for the answer."""
+    """The client that waits for the answer."""
 
     @property
     def gone(self) -> bool:
-        """Tell whether the client has left."""
+        """Return whether the client has disconnected."""
 
 
 @dataclass(frozen=True, slots=True)
 class Served:
-    """A server's answer, to be passed on."""
+    """A server's reply, to be forwarded."""
 
     reply: Any
 
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """Not served, and asking again is harmless."""
+    """Not served; it is safe to retry."""
 
     retry_after_ms: float
 
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """Not served, with no promise about effects."""
+    """Not served; the request may or may not have had effects."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Unsure:
-    """Not decided on: this gateway does not know now which policy is in force. Asking again is harmless."""
+    """No decision was made: this gateway does not know which policy is in force. It is safe to retry."""
 
     retry_after_ms: float
 
@@ -80,7 +81,7 @@
 
 
 class Servers(Protocol):
-    """Where attempts are made."""
+    """Sends attempts to servers."""
 
     def attempt(
         self,
@@ -91,12 +92,12 @@
         free: bool = True,
         write_by: float = math.inf,
     ) -> Steps[Result]:
-        """Make one attempt, not written after ``write_by``; ``free`` tells that a second run costs nothing."""
+        """Make one attempt, not written after ``write_by``; ``free`` says that running it twice does no harm."""
 
 
 @dataclass(frozen=True, slots=True)
 class ModuleFault:
-    """Stands among the module's actions where the module itself broke down over a request."""
+    """Takes the place of an action if the decision module raised an exception while handling a request."""
 
     request: int
 
@@ -104,186 +105,191 @@
 RequestAction = api.Send | api.Refuse | api.Fail | api.Cancel | ModuleFault
 
 
-class Ticket:
-    """One request in hand: the module's actions for it wait here until its task takes them up."""
+class InFlightRequest:
+    """A request in flight: holds the decision module's actions for it until its task handles them."""
 
-    __slots__ = ("id", "orders", "wake", "epoch")
+    __slots__ = ("id", "actions", "wake", "epoch")
 
     def __init__(self, number: int, wake: Callable[[], None]) -> None:
         self.id, self.wake = number, wake
-        self.epoch: int | None = None  # of the policy that its first order was decided under
-        self.orders: deque[RequestAction] = deque()
+        self.epoch: int | None = None  # of the policy under which its first action was decided
+        self.actions: deque[RequestAction] = deque()
 
-    def deliver(self, order: RequestAction) -> None:
-        """Add an action and wake the task."""
-        self.orders.append(order)
+    def deliver(self, action: RequestAction) -> None:
+        """Queue an action and wake the task."""
+        self.actions.append(action)
         self.wake()
 
 
-class Sides(Protocol):
-    """Whoever says among which boxes a request may go, and wants to hear how attempts end."""
+class PoolRouter(Protocol):
+    """Selects the server pools for a request and is notified of how attempts end."""
 
     def pools(self, request: Request) -> tuple[str, ...]:
-        """Give the pools that a request may go to, in order; empty for all boxes."""
+        """Return the pools that a request may go to, in order of preference; empty for all servers."""
 
     def ended(self, request: Request, pools: tuple[str, ...], server: str, result: Result, took_ms: float) -> None:
-        """Hear how a request's first attempt ended."""
+        """Called with the result of a request's first attempt."""
 
 
-class Agreed(Protocol):
-    """Whoever knows whether the policy that is served here is in force, in this very turn."""
+class PolicyGate(Protocol):
+    """Knows at this moment whether the policy that this gateway serves by is in force."""
 
     epoch: int
 
     def holds(self, epoch: int | None = None) -> bool:
-        """Tell whether a request may be decided on now; of a decision that was made, whether it still stands."""
+        """Return whether a request may be decided on now or, for a past decision's epoch, whether it still stands."""
 
     def worth_waiting(self) -> float:
-        """Give for how many ms more a request should wait: a change is just taking hold, or 0."""
+        """Return for how many ms a request should wait for a policy change that is about to take effect, or 0."""
 
     def wait(self, wake: Callable[[], None], off: bool = False) -> None:
-        """Have a task woken once requests may be decided on, or no more."""
+        """Register a task to be woken once requests may be decided on, or remove it (``off``)."""
 
     def admitted(self, request: Request) -> None:
-        """Hear that a request is let in now."""
+        """Called when a request is admitted."""
 
 
 class RequestHandler:
-    """Where requests meet the module and the servers."""
+    """Connects requests with the decision module and the servers."""
 
     def __init__(
         self, loop: Loop, tell: Callable[[api.Event], None], servers: Servers, counts: Counts, retry_after_ms: float
     ) -> None:
         self.loop, self.tell, self.servers, self.counts = loop, tell, servers, counts
         self.retry_after_ms = retry_after_ms
-        self.policy_gate: Agreed | None = None  # none: the policy is this gateway's own
-        self.pool_router: Sides | None = None  # none: any box for any request
-        self.on_attempt_end: Callable[[str, Ending], None] | None = None  # hears how attempts at boxes ended
-        self.tickets: dict[int, Ticket] = {}
-        self.last = 0
-        self.end_by = math.inf  # Unix ms at which this process must have answered all: soon after, it is killed
-
-    def deliver(self, order: RequestAction) -> None:
-        """Hand an action to its request, unless that has ended."""
-        ticket = self.tickets.get(order.request)
-        if ticket is not None:
-            if self.policy_gate is not None and ticket.epoch is None:
-                ticket.epoch = self.policy_gate.epoch
-            ticket.deliver(order)
-
-    def end_all_by(self, when: float) -> None:
-        """Answer whatever is in hand at some time: a request with longer to live would die with the process."""
-        self.end_by = when
+        self.policy_gate: PolicyGate | None = None  # None: the policy is this gateway's own
+        self.pool_router: PoolRouter | None = None  # None: any request may go to any server
+        self.on_attempt_end: Callable[[str, Ending], None] | None = None  # notified of each attempt's server and end
+        self.requests_in_flight: dict[int, InFlightRequest] = {}
+        self.last_id = 0
+        self.answer_by = math.inf  # Unix ms by which every request must be answered: the process is killed soon after
+
+    def deliver(self, action: RequestAction) -> None:
+        """Pass an action to its request, unless that has ended."""
+        in_flight = self.requests_in_flight.get(action.request)
+        if in_flight is not None:
+            if self.policy_gate is not None and in_flight.epoch is None:
+                in_flight.epoch = self.policy_gate.epoch
+            in_flight.deliver(action)
+
+    def answer_all_by(self, when: float) -> None:
+        """Answer all requests in flight by a given time: one with a later deadline would die with the process."""
+        self.answer_by = when
         self.loop.at(when, self.wake_all)
 
     def wake_all(self) -> None:
-        """Have all requests in hand look at the time."""
-        for ticket in self.tickets.values():
-            ticket.wake()
+        """Have all requests in flight check the time."""
+        for in_flight in self.requests_in_flight.values():
+            in_flight.wake()
 
     def serve(self, request: Request, caller: Caller) -> Steps[Answer | None]:
-        """Live a request's life, and give its answer, or None where the client left before it."""
-        self.last += 1
-        ticket = self.tickets[self.last] = Ticket(self.last, self.loop.this_task().wake)
+        """Handle a request and return its answer, or None if the client disconnected first."""
+        self.last_id += 1
+        in_flight = self.requests_in_flight[self.last_id] = InFlightRequest(self.last_id, self.loop.this_task().wake)
         self.counts.add("taken", "requests")
         try:
-            answer = yield from self.live(ticket, request, caller)
+            answer = yield from self.process(in_flight, request, caller)
         except Exception:
-            self.tell(api.ClientGone(ticket.id))  # the module must not wait for it
+            self.tell(api.ClientGone(in_flight.id))  # or the module would keep the request for ever
             raise
         finally:
-            del self.tickets[ticket.id]
+            del self.requests_in_flight[in_flight.id]
         self.counts.add("answered", "client_left" if answer is None else type(answer).__name__.lower())
         return answer
 
-    def live(self, ticket: Ticket, request: Request, caller: Caller) -> Steps[Answer | None]:
-        """Tell the module of the request, then do as it says until it says the last word."""
-        until = now_ms() + request.left_ms
-        overdue = self.loop.at(until + OVERDUE_MS, ticket.wake)
+    def process(self, in_flight: InFlightRequest, request: Request, caller: Caller) -> Steps[Answer | None]:
+        """Report the request to the decision module and carry out its actions until the final one."""
+        deadline = now_ms() + request.remaining_ms
+        overdue = self.loop.at(deadline + ANSWER_GRACE_MS, in_flight.wake)
         attempts, may_have_run = 0, False
         if self.policy_gate is not None and not self.policy_gate.holds():
-            yield from self.await_policy(self.policy_gate, ticket, request, caller)
+            yield from self.await_policy(self.policy_gate, in_flight, request, caller)
             if caller.gone or not self.policy_gate.holds():
                 overdue.cancel()
-                return None if caller.gone else self.unsure()
-            request = dataclasses.replace(request, left_ms=max(1.0, until - now_ms()))
+                return None if caller.gone else self.refuse_undecided()
+            request = dataclasses.replace(request, remaining_ms=max(1.0, deadline - now_ms()))
         pools = self.pool_router.pools(request) if self.pool_router is not None else ()
         self.tell(
             api.Arrival(
-                ticket.id,
+                in_flight.id,
                 request.request_class,
                 request.plan,
                 request.customer,
-                request.left_ms,
+                request.remaining_ms,
                 request.units,
                 request.set_size,
-                request.repeat,
+                request.is_retry,
                 pools,
                 request.set_first,
             )
         )
         try:
             while True:
-                while not ticket.orders and not caller.gone and now_ms() < min(until + OVERDUE_MS, self.end_by):
-                    yield  # the module holds it, to hear the counter first
-                if caller.gone or now_ms() >= self.end_by:
-                    self.take_back(ticket, attempts)
-                    return None if caller.gone else self.cut_off(may_have_run)
-                order = ticket.orders.popleft() if ticket.orders else ModuleFault(ticket.id)
-                if self.policy_gate is not None and not attempts and not isinstance(order, ModuleFault):
-                    if not self.policy_gate.holds(ticket.epoch):  # decided, and not let in: the policy went in between
-                        if isinstance(order, api.Send):
-                            self.tell(api.Outcome(ticket.id, 0, order.server, Ending.MOOT, 0.0, True))
-                        return self.unsure()
-                    if isinstance(order, api.Send):
+                while (
+                    not in_flight.actions
+                    and not caller.gone
+                    and now_ms() < min(deadline + ANSWER_GRACE_MS, self.answer_by)
+                ):
+                    yield  # the module has not decided yet: it waits for the counter's reply
+                if caller.gone or now_ms() >= self.answer_by:
+                    self.withdraw(in_flight, attempts)
+                    return None if caller.gone else self.answer_at_shutdown(may_have_run)
+                action = in_flight.actions.popleft() if in_flight.actions else ModuleFault(in_flight.id)
+                if self.policy_gate is not None and not attempts and not isinstance(action, ModuleFault):
+                    if not self.policy_gate.holds(in_flight.epoch):  # the policy changed between decision and admission
+                        if isinstance(action, api.Send):
+                            self.tell(api.Outcome(in_flight.id, 0, action.server, Ending.MOOT, 0.0, True))
+                        return self.refuse_undecided()
+                    if isinstance(action, api.Send):
                         self.policy_gate.admitted(request)
-                if isinstance(order, api.Refuse):
-                    cause = order.cause or ("attempts" if attempts else "servers")
+                if isinstance(action, api.Refuse):
+                    cause = action.cause or ("attempts" if attempts else "servers")
                     self.counts.add("refused", f"{cause}_{request.plan}")
-                    return Refused(order.retry_after_ms)
-                if isinstance(order, api.Fail):
+                    return Refused(action.retry_after_ms)
+                if isinstance(action, api.Fail):
                     return Failed("no attempt was served")
-                if isinstance(order, ModuleFault):
-                    # The module broke down or forgot the request: the client is answered all the same.
-                    self.tell(api.ClientGone(ticket.id))
+                if isinstance(action, ModuleFault):
+                    # The module raised an exception or lost the request: the client gets an answer all the same.
+                    self.tell(api.ClientGone(in_flight.id))
                     self.counts.add("answered", "without_the_module")
                     return Failed("internal error") if may_have_run else Refused(self.retry_after_ms)
-                if isinstance(order, api.Cancel):
-                    continue  # of an attempt that has ended by itself
-                started = now_ms()
-                last = min(until, started + order.timeout_ms) if order.timeout_ms else until
+                if isinstance(action, api.Cancel):
+                    continue  # the attempt to cancel has already ended
+                started_at = now_ms()
+                attempt_until = min(deadline, started_at + action.timeout_ms) if action.timeout_ms else deadline
                 result = yield from self.servers.attempt(
-                    order.server,
+                    action.server,
                     request.message,
-                    last,
-                    lambda: caller.gone or bool(ticket.orders) or now_ms() >= self.end_by,
-                    request.free,
-                    order.write_by,
+                    attempt_until,
+                    lambda: caller.gone or bool(in_flight.actions) or now_ms() >= self.answer_by,
+                    request.repeatable,
+                    action.write_by,
                 )
                 self.counts.add("sent", result.ending.value)
                 if self.on_attempt_end is not None:
-                    self.on_attempt_end(order.server, result.ending)
+                    self.on_attempt_end(action.server, result.ending)
                 may_have_run |= result.reach > Reach.UNWRITTEN and result.ending is not Ending.FULL
-                gone, over = caller.gone, now_ms() >= self.end_by  # looked at once for all that follows
-                if gone:  # before the attempt's end is told: no further one may follow from it
-                    self.tell(api.ClientGone(ticket.id))
+                gone, shutting_down = caller.gone, now_ms() >= self.answer_by  # read once, for a consistent view below
+                if gone:  # reported before the attempt's outcome, so that the module starts no further attempt
+                    self.tell(api.ClientGone(in_flight.id))
                 served = result.ending is Ending.OK
-                started = max(started, result.asked_at)  # a client's slow body is no slowness of the box
+                started_at = max(started_at, result.asked_at)  # a client's slow upload must not count as server latency
                 self.tell(
                     api.Outcome(
-                        ticket.id,
+                        in_flight.id,
                         attempts,
-                        order.server,
+                        action.server,
                         result.ending,
-                        now_ms() - started,
-                        served or gone or over,
+                        now_ms() - started_at,
+                        served or gone or shutting_down,
                         result.used,
                         None,
                         dict(result.report),
                     )
                 )
-                if self.pool_router is not None and not attempts:  # later ones are of requests that went badly
-                    self.pool_router.ended(request, pools, order.server, result, now_ms() - started)
+                # Only first attempts are reported: later ones are biased towards requests that went badly.
+                if self.pool_router is not None and not attempts:
+                    self.pool_router.ended(request, pools, action.server, result, now_ms() - started_at)
                 attempts += 1
                 if gone:
                     return None
@@ -292,32 +298,35 @@
         finally:
             overdue.cancel()
 
-    def take_back(self, ticket: Ticket, attempts: int) -> None:
-        """Tell the module that nothing more is owed; an attempt that it has just decided on is not made.
+    def withdraw(self, in_flight: InFlightRequest, attempts: int) -> None:
+        """Report to the decision module that no answer is owed, and that an attempt just decided on is not made.
 
-        The module has booked that one: untold of its end, it would count as out at its server for good.
+        The module has already counted that attempt: without its outcome it would count as outstanding at its server
+        for ever.
         """
-        for order in ticket.orders:
-            if isinstance(order, api.Send):
-                self.tell(api.Outcome(ticket.id, attempts, order.server, Ending.MOOT, 0.0, True))
-        self.tell(api.ClientGone(ticket.id))
+        for action in in_flight.actions:
+            if isinstance(action, api.Send):
+                self.tell(api.Outcome(in_flight.id, attempts, action.server, Ending.MOOT, 0.0, True))
+        self.tell(api.ClientGone(in_flight.id))
 
-    def cut_off(self, may_have_run: bool) -> Answer:
-        """Answer a request whose process ends before its time."""
+    def answer_at_shutdown(self, may_have_run: bool) -> Answer:
+        """Answer a request whose process ends before the request's deadline."""
         self.counts.add("answered", "cut_off_at_the_end")
         return Failed("the gateway ends") if may_have_run else Refused(self.retry_after_ms)
 
-    def await_policy(self, agreed: Agreed, ticket: Ticket, request: Request, caller: Caller) -> Steps[None]:
-        """Wait a little for a change that is just taking hold; what is not near is given up at once."""
-        until = now_ms() + min(agreed.worth_waiting(), request.left_ms / 4.0)
-        agreed.wait(ticket.wake)
-        timer = self.loop.at(until, ticket.wake)
-        while not agreed.holds() and not caller.gone and now_ms() < until:
+    def await_policy(
+        self, policy_gate: PolicyGate, in_flight: InFlightRequest, request: Request, caller: Caller
+    ) -> Steps[None]:
+        """Wait briefly for a policy change that is about to take effect; otherwise return at once."""
+        until = now_ms() + min(policy_gate.worth_waiting(), request.remaining_ms / 4.0)
+        policy_gate.wait(in_flight.wake)
+        timer = self.loop.at(until, in_flight.wake)
+        while not policy_gate.holds() and not caller.gone and now_ms() < until:
             yield
-        agreed.wait(ticket.wake, off=True)
+        policy_gate.wait(in_flight.wake, off=True)
         timer.cancel()
 
-    def unsure(self) -> Answer:
-        """Refuse what cannot be decided on here now."""
+    def refuse_undecided(self) -> Answer:
+        """Refuse a request that cannot be decided on here now."""
         self.counts.add("refused", "unsure")
-        return Unsure(min(UNSURE_MS, self.retry_after_ms))
+        return Unsure(min(UNKNOWN_POLICY_RETRY_MS, self.retry_after_ms))
