--- a/petrelhall/decide/policy.py
+++ b/petrelhall/decide/policy.py
@@ -353,9 +353,7 @@
         for server in event.servers:
             link = self.links.get(server.address)
             if link is None or server.since_ms > link.server.since_ms:
-                link = Link(
-                    server, self.first_limit, initial_cold_allowance(server.address, self.settings), self.now
-                )
+                link = Link(server, self.first_limit, initial_cold_allowance(server.address, self.settings), self.now)
                 self.links[server.address] = link
             link.server = server
             if server.since_ms and self.now - server.since_ms < self.settings.cold_ms:
@@ -389,10 +387,7 @@
             others = faded(link.others, rest, (self.now - link.reported) / REPORT_MS)
             cost = (link.out + others + 1.0) * slowness / max(0.01, link.server.weight)
             good, at = link.health.get(job.index, (1.0, -math.inf))  # the chance that it answers this class
-            cost /= (
-                max(TRUST_MIN, faded(good, 1.0 - self.failure_rates[job.index], (self.now - at) / TRUST_MS))
-                ** 2
-            )
+            cost /= max(TRUST_MIN, faded(good, 1.0 - self.failure_rates[job.index], (self.now - at) / TRUST_MS)) ** 2
             crossing = CROSSING * self.settings.cross_zone_price * (link.server.zone != self.settings.zone)
             opening = OPENING * self.settings.handshake_price * (not link.sent)  # most likely not connected
             cost *= 1.0 + crossing + opening + JITTER * self.random.random()
@@ -453,9 +448,7 @@
         self.actions.append(job.last_send(self.now, WINDOW_MARGIN))
         if len(job.attempts) == 1:
             wait = max(OVERDUE_MIN * job.kind.aim_ms, OVERDUE * self.expected(job))
-            self.actions.append(
-                api.SetTimer(min(OVERDUE_MAX * job.kind.aim_ms, wait), job.id + FIRST_REQUEST_TOKEN)
-            )
+            self.actions.append(api.SetTimer(min(OVERDUE_MAX * job.kind.aim_ms, wait), job.id + FIRST_REQUEST_TOKEN))
 
     def hopeless(self, job: Job) -> bool:
         """Tell whether too little time is left for an answer of worth, or for an attempt to end in order."""
@@ -527,9 +520,7 @@
         customer, plan = self.customers.get(event.customer), self.settings.plans[event.plan]
         if customer is None:
             code = zlib.crc32(event.customer.encode())
-            customer = Customer(
-                plan, event.set_size, code, self.now, self.now - USAGE_REPORT_TTL_MS, event.set_first
-            )
+            customer = Customer(plan, event.set_size, code, self.now, self.now - USAGE_REPORT_TTL_MS, event.set_first)
             told = self.shares.get(code, 100.0) / 100.0
             customer.share = told if self.counter or self.metered else customer.even
             if self.peers:  # the store less what was told of it, where peers were heard for a while
@@ -540,10 +531,7 @@
                 left = left_of(plan, used, self.now) if heard or self.many else 0.0
                 customer.shared = max(plan.burst * customer.even, left)
             customer.cap = (
-                customer.even
-                * plan.ceiling_rate
-                * min(IDLE_CUSTOMER_TTL_MS, self.now - self.started)
-                / 1000.0
+                customer.even * plan.ceiling_rate * min(IDLE_CUSTOMER_TTL_MS, self.now - self.started) / 1000.0
             )
             customer.owned = self.owner.account(customer, self.now) if self.owner else None
             self.customers[event.customer] = self.codes[code] = customer
@@ -628,9 +616,7 @@
         if event.token == 0:
             self.close_interval()
         elif event.token == 1:
-            self.actions.append(
-                api.SetTimer(self.gossip_interval_ms * (0.5 + self.random.random()), 1)
-            )  # not in step
+            self.actions.append(api.SetTimer(self.gossip_interval_ms * (0.5 + self.random.random()), 1))  # not in step
             self.opened = self.outs | self.opened
             self.told |= self.dawn.word(self.now - self.started)
             if (self.told or self.opened) and self.now - self.told_at >= self.open_gap:
