--- a/petrelhall/decide/correlation.py
+++ b/petrelhall/decide/correlation.py
@@ -1,4 +1,4 @@
-"""Pearson's r and the t statistic of its test: plain arithmetic, the judgement of it is the policy's."""
+"""Pearson's correlation coefficient r and its t-test. Plain arithmetic: what follows from it is decided elsewhere."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 def t_statistic(pairs: Iterable[tuple[float, float]]) -> float:
-    """Give t of r for pairs of counts and pressure: 0 where there is no r, infinite for a straight line."""
+    """Return the t statistic of r for pairs of units and load pressure.
+
+    It is 0 where r is undefined and infinite where the pairs lie on a straight line.
+    """
     units, pressure = zip(*pairs, strict=True)
     if len(units) < 3 or min(units) == max(units) or min(pressure) == max(pressure):
         return 0.0
@@ -18,11 +21,14 @@
     return r * math.sqrt((len(units) - 2) / (1.0 - r * r))
 
 
-def critical_t(normal_point: float, pairs: int) -> float:
-    """Give Student's point at pairs - 2 degrees of freedom from the normal one: within 1% from 8 pairs on."""
-    return normal_point * (1.0 + 1.3 / (pairs - 3))
+def critical_t(normal_quantile: float, pairs: int) -> float:
+    """Approximate the quantile of Student's t at pairs - 2 degrees of freedom from that of the normal distribution.
+
+    The error is below 1% from 8 pairs on.
+    """
+    return normal_quantile * (1.0 + 1.3 / (pairs - 3))
 
 
-def significant(pairs: list[tuple[float, float]], normal_point: float) -> bool:
-    """Tell whether r is positive and passes the test that has the given normal point."""
-    return t_statistic(pairs) > critical_t(normal_point, len(pairs))
+def significant(pairs: list[tuple[float, float]], normal_quantile: float) -> bool:
+    """Tell whether r is positive and significant at the level of the given quantile of the normal distribution."""
+    return t_statistic(pairs) > critical_t(normal_quantile, len(pairs))
--- a/petrelhall/decide/policy.py
+++ b/petrelhall/decide/policy.py
@@ -1,4 +1,7 @@
-"""Every decision of a petrelhall gateway. Its settings, events and actions: petrelhall/interface.py."""
+"""All decisions of a petrelhall gateway. Its settings, events and actions are in petrelhall/decide/interface.py.
+
+"The paper" is Porter et al., Self-Adaptive Web Services: Selective Admission Control Using Request Correlation (2005).
+"""
 
 from __future__ import annotations
 
@@ -13,499 +16,746 @@
 from petrelhall.decide.correlation import significant
 from petrelhall.decide.dawn import Dawn, fill
 from petrelhall.decide.interface import Effect, Ending
-from petrelhall.decide.ledger import COUNTER_NAME_TTL_MS, verdict
-from petrelhall.decide.retries import price
+from petrelhall.decide.ledger import COUNTER_NAME_TTL_MS, evaluate_total
+from petrelhall.decide.retries import retry_cost
 from petrelhall.decide.slowstart import cold_start_share, initial_cold_allowance
 from petrelhall.decide.state import Customer, Job, Link, Memory, faded, left_of, taken
-from petrelhall.decide.waiting import STEP_MS, Held
-
-# Correlation and cut
-INTERVAL_MS, STALL_MS = 1000.0, 200.0  # ms; the paper's interval; its end so late, we have stood still
-CORRELATION_WINDOW, MIN_INTERVALS, MIN_ENDS = (
-    30,
-    8,
-    5.0,
-)  # intervals of a column, fewest to test; ends for a share
-NORMAL_QUANTILE = 1.96  # alpha 0.05, two-sided; Student's point at the degrees of freedom follows from it
-MAX_TRACKED_CUSTOMERS, FLAG_RUNS = (
-    32,
-    2,
-)  # busiest customers that are tested; flags in a row: one in 20 is chance
-CUT_RATIO, SPARED_USE = 1.0 / 3.5, 0.9  # the paper's; share of quota below which no one is cut
-PRESSED, RELIEVED = (1.0, 0.10), (0.7, 0.05)  # latency over aim, share full or timed out: start, lift
+from petrelhall.decide.waiting import RECHECK_INTERVAL_MS, WaitingRequests
+
+# Unless a comment says otherwise, latencies are given as a multiple of the target latency (aim_ms) of the request's
+# class, and weights are those of one sample in an exponentially weighted moving average.
+
+# Overload detection and throttling
+
+# Period of the overload test; the paper's. Also the delay before the server list is followed again after a failure.
+INTERVAL_MS = 1000.0
+# An interval timer later than this shows that this gateway itself has stalled: latencies measured then blame no server.
+STALL_MS = 200.0
+# Most recent intervals of a customer that are correlated with load pressure.
+CORRELATION_WINDOW = 30
+# Fewest intervals that are tested.
+MIN_INTERVALS = 8
+# Least number of outcomes that the share of failed ones is taken of.
+MIN_OUTCOMES = 5.0
+# Two-sided test at alpha = 0.05; Student's quantile at the degrees of freedom is derived from it.
+NORMAL_QUANTILE = 1.96
+# Customers that are tested: those with the highest demand.
+MAX_TRACKED_CUSTOMERS = 32
+# Tests in a row that must flag a customer: one flag in 20 is chance.
+MIN_CONSECUTIVE_FLAGS = 2
+# Rate of a throttled customer over its demand; the paper's.
+THROTTLE_RATIO = 1.0 / 3.5
+# A customer that uses less than this share of its quota is not throttled.
+THROTTLE_MIN_USE = 0.9
+# Mean latency, and share of outcomes that were full or timed out, above which overload begins.
+OVERLOAD_START = (1.0, 0.10)
+# The same two, below which overload ends.
+OVERLOAD_END = (0.7, 0.05)
+
 # Quota
-RATE_DECAY_MS, USAGE_REPORT_TTL_MS = (
-    3000.0,
-    3000.0,
-)  # ms; decay of rates, to follow shifts of traffic; life of news
-METER_LAG_MS, PEER_LAG_MS = 1500.0, 150.0  # ms that news of the others' use is old: period and way
-TICK_MS, GOSSIP_BUDGET_SHARE, TOLD_STEP = (
-    50.0,
-    0.6,
-    1.3,
-)  # ms between messages; share of what a peer takes in; news
-MANY_MS, MANY_SHARE, SET_SHARE = 100.0, 0.15, 0.75  # ms: a word to all is late; its share then; the sets'
-IDLE_CUSTOMER_TTL_MS, MOST_SHARES = 15000.0, 10000  # idle customers; shares: bound memory
-ASK_MIN, COUNTER_SAMPLING_CUT, ASK_STEP, ASK_HASTE = 0.1, 0.7, 0.04, 0.2  # share of tries that call; growth/s
-KNOWN = 0.9  # share of demand borne
-PASS_MIN, PASS_GAIN, PASS_MS = 0.05, 0.5, 4000.0  # share let in by the meter: least, step at most, its pace
-BACK_MS = 50.0  # least wait that a refusal advises
-OPEN_LAG_MS, OPEN_RISK, MANY_RISK = 30.0, 0.2, 0.1  # ms that news of an attempt is old; chance of a full cap
-ATTEMPT_REPORT_TTL_MS, OPEN_SHARE = (
-    300.0,
-    0.9,
-)  # for which a told attempt counts; share of what a peer takes in
+
+# Time constant of the decay of rates: short enough to follow traffic that shifts between gateways.
+RATE_DECAY_MS = 3000.0
+# Age up to which what others reported of their use (peers, meter, counter) counts.
+USAGE_REPORT_TTL_MS = 3000.0
+# Age of metered use when it arrives: the meter's period and the way.
+METER_LAG_MS = 1500.0
+# Age of the use that peers report when it arrives: the period of the messages and the way.
+PEER_LAG_MS = 150.0
+# Least time between two periodic messages to peers.
+MIN_GOSSIP_INTERVAL_MS = 50.0
+# Share of the messages that a peer accepts per second that periodic messages may take.
+GOSSIP_BUDGET_SHARE = 0.6
+# Factor by which a customer's admitted share must change before it is reported to peers again.
+SHARE_REPORT_RATIO = 1.3
+# If messages to all peers must be further apart than this, they are too late for reports of running attempts; these
+# then go to the gateways of the customer only, and the fleet counts as large.
+BROADCAST_MAX_DELAY_MS = 100.0
+# In a large fleet: share of the messages that a peer accepts that go to all peers.
+BROADCAST_BUDGET_SHARE = 0.15
+# In a large fleet: share of the messages that a peer accepts that go to single gateways, those of one customer.
+TARGETED_BUDGET_SHARE = 0.75
+# Time after which an idle customer is forgotten, so that memory stays bounded.
+IDLE_CUSTOMER_TTL_MS = 15000.0
+# Admitted shares reported by peers that are kept, so that memory stays bounded.
+MAX_SHARES = 10000
+# Least share of requests that call the counter.
+COUNTER_SAMPLING_MIN = 0.1
+# Factor on that share when the counter does not answer.
+COUNTER_SAMPLING_CUT = 0.7
+# Growth of that share per second while answers come.
+COUNTER_SAMPLING_GROWTH = 0.04
+# The same where no call has lately gone without an answer.
+COUNTER_SAMPLING_FAST_GROWTH = 0.2
+# Share of a customer's demand covered by its quota from which its requests pass as within quota.
+LIKELY_WITHIN_QUOTA = 0.9
+# Least share of a customer's demand that is admitted under a meter.
+ADMITTED_SHARE_MIN = 0.05
+# Largest relative step of that share.
+ADMITTED_SHARE_MAX_STEP = 0.5
+# Time in which that share follows the metered use.
+ADMITTED_SHARE_ADJUST_MS = 4000.0
+# Least delay that a refusal advises before the next try.
+MIN_RETRY_AFTER_MS = 50.0
+# Age of a peer's report of running attempts when it arrives.
+ATTEMPT_REPORT_LAG_MS = 30.0
+# Probability that a customer's limit on concurrent attempts is already reached, above which no attempt is started.
+MAX_CAP_RISK = 0.2
+# The same in a large fleet.
+MAX_CAP_RISK_LARGE_FLEET = 0.1
+# Time for which attempts reported by a peer count.
+ATTEMPT_REPORT_TTL_MS = 300.0
+# Share of the messages that a peer accepts that reports of running attempts may take at most.
+ATTEMPT_REPORT_BUDGET_SHARE = 0.9
+
 # Servers
-LATENCY_GAIN, FLEET_EWMA_WEIGHT, FAULT_GAIN = 0.15, 0.03, 0.05  # weight of an answer: server, fleet, class
-FORGIVE_MS, REPORT_MS, TRUST_MS = 8000.0, 500.0, 20000.0  # ms in which slowness, a report, trust lose half
-JITTER, CROSSING, OPENING = 0.15, 5.0, 10.0  # chance in a server's cost, against herding; priced, in prices
-EJECTION_MIN_MS, EJECT_MAX_MS = 500.0, 4000.0  # ms, first and longest
-RESETS = 3  # in a row that look like a death: one is a connection's end, and the next connect tells more
-LIMIT_START, LIMIT_MIN, LIMIT_MAX = 12.0, 1.0, 64.0  # attempts out at a server: of all, from here
-CALM_WAIT, FULL_WAIT, QUIET_WAIT = 0.20, 0.30, 0.45  # latency over aim: limit grows, falls; silence counts
-SAMPLE, TRUST_MIN, TRUSTED = 16, 0.1, 0.5  # servers compared; least chance of one that failed; a good one's
-WAITS, SHED_WAIT = 9, 0.4  # answers whose median, over the aim, sheds demand from here on
-ADMISSION_RATE_MIN, PACE_SLACK = 0.5, 2.0  # tries/s let in at least; at most, over the usual
-PACE_CUT, PACE_STEP, PACE_HASTE = 0.3, 0.02, 0.5  # cut an interval; growth, more where all is quick
-PACE_OUT, PASSED_GAIN = 0.2, 0.3  # latency over aim that what is out stands for; an interval's weight
-FULL_CUT_ENDS, DOUBT = 4.0, 1.5  # answers for a whole cut; store that the unknown need
-LIMIT_CUT, LIMIT_CUT_MS = 0.85, 200.0  # multiplicative decrease, at most once in so many ms
+
+# Weight of an answer in the averages of its server.
+SERVER_EWMA_WEIGHT = 0.15
+# Weight of an answer in the averages of the whole fleet.
+FLEET_EWMA_WEIGHT = 0.03
+# Weight of an answer in the failure rate of its class.
+FAILURE_EWMA_WEIGHT = 0.05
+# Half-life of a server's measured slowness.
+SLOWNESS_HALF_LIFE_MS = 8000.0
+# Half-life of a server's load report.
+LOAD_REPORT_HALF_LIFE_MS = 500.0
+# Half-life of what is known of a server's health for a class.
+HEALTH_HALF_LIFE_MS = 20000.0
+# Largest random addition to a server's cost, as a share: it keeps gateways from choosing the same server together.
+COST_JITTER = 0.15
+# Addition to a server's cost for another zone, as a share per unit of cross_zone_price.
+CROSS_ZONE_COST = 5.0
+# Addition for a server that most likely needs a new connection, as a share per unit of handshake_price.
+HANDSHAKE_COST = 10.0
+# Length of a server's first ejection; each one after it is twice as long.
+EJECTION_MIN_MS = 500.0
+# Length of the longest ejection.
+EJECTION_MAX_MS = 4000.0
+# Resets in a row that eject a server: a single one is the end of a connection, and the next connect tells more.
+EJECTION_RESETS = 3
+# Initial limit on concurrent attempts at one server, from all gateways together.
+LIMIT_START = 12.0
+# Least limit on concurrent attempts at one server from this gateway.
+LIMIT_MIN = 1.0
+# Largest limit on concurrent attempts at one server from this gateway.
+LIMIT_MAX = 64.0
+# Latency of a server below which its limit grows.
+LIMIT_GROWTH_LATENCY = 0.20
+# Latency of a server above which its limit is cut.
+LIMIT_CUT_LATENCY = 0.30
+# Time without an outcome from a server with running attempts after which it gets no new ones.
+SILENCE_LATENCY = 0.45
+# Servers that are compared for one attempt.
+SERVER_SAMPLE_SIZE = 16
+# Least probability of success that is assumed of a server that failed.
+MIN_HEALTH = 0.1
+# Probability of success from which a server counts as good when the usual rate to a warm server is measured.
+GOOD_HEALTH = 0.5
+# Latest answers whose median shows whether the fleet is slow.
+LATENCY_SAMPLES = 9
+# Median latency above which demand is shed.
+SHED_LATENCY = 0.4
+# Least rate of admitted requests per second.
+ADMISSION_RATE_MIN = 0.5
+# Largest admission rate over the usual number of admitted requests per interval.
+ADMISSION_RATE_SLACK = 2.0
+# Largest cut of the admission rate per interval, as a share.
+ADMISSION_RATE_CUT = 0.3
+# Growth of the admission rate per interval, as a share.
+ADMISSION_RATE_GROWTH = 0.02
+# Additional growth where all answers are quick.
+ADMISSION_RATE_FAST_GROWTH = 0.5
+# Latency for which attempts at the admission rate may be running: more than that are refused.
+CONCURRENCY_LATENCY = 0.2
+# Weight of an interval in the usual number of admitted requests.
+ADMITTED_EWMA_WEIGHT = 0.3
+# Outcomes per interval from which the admission rate is cut in full.
+FULL_CUT_OUTCOMES = 4.0
+# Tokens of the admission rate that must be there for a request not known to be within its quota, in place of 1.
+UNCONFIRMED_RESERVE = 1.5
+# Multiplicative decrease of a server's limit.
+LIMIT_CUT_FACTOR = 0.85
+# Least time between two decreases.
+LIMIT_CUT_INTERVAL_MS = 200.0
+
 # Attempts
-FIRST_GUESS, LEAST_MS = 0.2, 20.0  # latency over aim before any was seen; ms that an answer takes
-RETRY_BUDGET_PER_REQUEST, RETRY_CAP = (
-    0.15,
-    15.0,
-)  # retry budget: earned by a first attempt; most that is saved
-OVERDUE, OVERDUE_MIN, OVERDUE_MAX = 3.0, 0.2, 0.5  # mean latencies, within shares of the aim
-AIM_MARGIN, WINDOW_MARGIN = 0.98, 0.9  # share of the aim, of a keyed window, that is used
-FIRST_REQUEST_TOKEN = 5  # timers: 0 interval, 1 and 3 peers, 2 list, 4 who waits, then one for each request
+
+# Latency per unit that is assumed before any was measured.
+INITIAL_LATENCY = 0.2
+# Least time that an answer takes.
+MIN_ANSWER_MS = 20.0
+# Retry budget that each request earns with its first attempt.
+RETRY_BUDGET_PER_REQUEST = 0.15
+# Largest retry budget that is saved.
+RETRY_BUDGET_MAX = 15.0
+# Multiple of the expected latency after which a first attempt counts as overdue.
+OVERDUE_LATENCIES = 3.0
+# Bounds on that time, as shares of the target latency.
+OVERDUE_MIN = 0.2
+OVERDUE_MAX = 0.5
+# Share of the target latency in which an answer must come if a late one is worth nothing.
+AIM_MARGIN = 0.98
+# Share of a class's window in which a keyed request may be repeated.
+WINDOW_MARGIN = 0.9
+# Timer tokens: 0 interval, 1 and 3 messages to peers, 2 server list, 4 waiting requests; from here one per request.
+FIRST_REQUEST_TOKEN = 5
 
 
 class Gateway(Memory):
-    """One front door: feed it every event in order, carry out the actions in order."""
+    """The decision module of one gateway: give it every event in order, and carry out the actions in order."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
-        super().__init__(retries=RETRY_CAP / 2)
-        self.settings, self.random, self.waiting_requests = settings, random.Random(seed), Held()
-        self.first_limit = max(LIMIT_MIN, LIMIT_START / settings.gateways)
-        mail = max(1.0, settings.peer_messages_per_s)
-        gap = 1000.0 * settings.gateways / (GOSSIP_BUDGET_SHARE * mail)
-        self.peers = settings.peers and (gap < USAGE_REPORT_TTL_MS / 3 or not settings.counter)
-        self.open_gap = 1000.0 * max(1, settings.gateways - 1) / (OPEN_SHARE * mail)
-        self.many = self.peers and self.open_gap > MANY_MS  # what cannot wait for a word to all goes to sets
-        self.gossip_interval_ms = max(TICK_MS, gap * GOSSIP_BUDGET_SHARE / MANY_SHARE if self.many else gap)
-        self.open_life = max(ATTEMPT_REPORT_TTL_MS, 2.0 * self.gossip_interval_ms * self.many)
-        self.dawn = Dawn((settings.gateways - 1) * (self.peers and not self.many))
-        self.counter = settings.counter and not self.peers
-        self.metered = settings.meter_ms > 0 and not self.counter and not self.peers
-        self.latency = {kind: FIRST_GUESS * kind.aim_ms for kind in settings.classes}  # ms a unit
-        self.failure_rates = [0.0 for kind in settings.classes]  # share of a class's attempts that fail
+        super().__init__(retries=RETRY_BUDGET_MAX / 2)
+        self.settings, self.random, self.waiting_requests = settings, random.Random(seed), WaitingRequests()
+        self.initial_limit = max(LIMIT_MIN, LIMIT_START / settings.gateways)
+        messages_per_s = max(1.0, settings.peer_messages_per_s)
+        interval_ms = 1000.0 * settings.gateways / (GOSSIP_BUDGET_SHARE * messages_per_s)
+        self.uses_peers = settings.peers and (interval_ms < USAGE_REPORT_TTL_MS / 3 or not settings.counter)
+        self.attempt_report_interval_ms = (
+            1000.0 * max(1, settings.gateways - 1) / (ATTEMPT_REPORT_BUDGET_SHARE * messages_per_s)
+        )
+        # What cannot wait for a message to all peers then goes to the gateways of the customer.
+        self.is_large_fleet = self.uses_peers and self.attempt_report_interval_ms > BROADCAST_MAX_DELAY_MS
+        self.gossip_interval_ms = max(
+            MIN_GOSSIP_INTERVAL_MS,
+            interval_ms * GOSSIP_BUDGET_SHARE / BROADCAST_BUDGET_SHARE if self.is_large_fleet else interval_ms,
+        )
+        self.attempt_report_ttl_ms = max(ATTEMPT_REPORT_TTL_MS, 2.0 * self.gossip_interval_ms * self.is_large_fleet)
+        self.initial_fill = Dawn((settings.gateways - 1) * (self.uses_peers and not self.is_large_fleet))
+        self.uses_counter = settings.counter and not self.uses_peers
+        self.uses_meter = settings.meter_ms > 0 and not self.uses_counter and not self.uses_peers
+        # Expected latency per unit, in ms, by class.
+        self.latency = {request_class: INITIAL_LATENCY * request_class.aim_ms for request_class in settings.classes}
+        # Share of attempts that fail, by class.
+        self.failure_rates = [0.0 for request_class in settings.classes]
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Decide on one event at the given time: a kind has its method (on_arrival ...) or is an end."""
+        """Decide on one event at the given time.
+
+        Each type of event has its method (``on_arrival`` ...); a type without one ends its request.
+        """
         self.now, self.actions = now, []
-        self.stalled = now if now > self.interval_due + STALL_MS else self.stalled  # this tells of us alone
-        getattr(self, "on_" + type(event).__name__.lower(), self.end)(event)
+        # A late interval timer says something about this gateway only, not about the servers.
+        self.stalled = now if now > self.interval_due + STALL_MS else self.stalled
+        getattr(self, "on_" + type(event).__name__.lower(), self.end_request)(event)
         return self.actions
 
     # Quota
 
     def refill(self, customer: Customer) -> None:
-        """Bring a customer's stores and rates up to now."""
-        plan, even, elapsed = customer.plan, customer.even, (self.now - customer.filled) / 1000.0
-        customer.filled, use = self.now, max(1e-9, customer.sent + customer.others)
-        part = max(even, customer.sent / use)
-        if self.timed(customer):
-            fill = part * elapsed * plan.rate * min(1.0, plan.rate / use)
-            customer.bucket = min(max(self.settings.largest_units, plan.burst * part), customer.bucket + fill)
-        unused = plan.rate - customer.others * self.metered
-        customer.fill(elapsed, max(0.0, unused), plan.ceiling_rate * even, plan.ceiling_burst * even)
-        stale = not self.metered or self.now - customer.news_at > USAGE_REPORT_TTL_MS
-        customer.fade(math.exp(-elapsed * 1000.0 / RATE_DECAY_MS), stale)
-
-    def timed(self, customer: Customer) -> bool:
-        """Tell whether the bucket fills by time: only where this gateway's part can hold a whole request."""
-        whole = customer.plan.burst * customer.even >= self.settings.largest_units
-        return self.metered or (self.counter and whole)
-
-    def within_quota(self, customer: Customer, units: float, verdict: bool | None) -> bool:
-        """Let the bucket decide; beyond it, borrow room that the others are known to leave unused."""
+        """Bring a customer's token buckets and rates up to now."""
+        plan, even_share, elapsed_s = customer.plan, customer.even, (self.now - customer.filled) / 1000.0
+        customer.filled, total_rate = self.now, max(1e-9, customer.sent + customer.others)
+        own_share = max(even_share, customer.sent / total_rate)
+        if self.fills_by_time(customer):
+            earned = own_share * elapsed_s * plan.rate * min(1.0, plan.rate / total_rate)
+            customer.bucket = min(max(self.settings.largest_units, plan.burst * own_share), customer.bucket + earned)
+        unused_rate = plan.rate - customer.others * self.uses_meter
+        customer.fill(elapsed_s, max(0.0, unused_rate), plan.ceiling_rate * even_share, plan.ceiling_burst * even_share)
+        stale = not self.uses_meter or self.now - customer.news_at > USAGE_REPORT_TTL_MS
+        customer.fade(math.exp(-elapsed_s * 1000.0 / RATE_DECAY_MS), stale)
+
+    def fills_by_time(self, customer: Customer) -> bool:
+        """Tell whether the bucket fills with time: only if this gateway's part of it can hold a whole request."""
+        holds_request = customer.plan.burst * customer.even >= self.settings.largest_units
+        return self.uses_meter or (self.uses_counter and holds_request)
+
+    def within_quota(self, customer: Customer, units: float, granted: bool | None) -> bool:
+        """Tell whether the quota covers some units; ``granted`` is the counter's decision, if there is one.
+
+        Beyond its own bucket a gateway may borrow what the others are known to leave unused.
+        """
         plan, within = customer.plan, min(customer.bucket, customer.shared) >= units
-        if plan.rate <= 0 or verdict is not None:
-            return verdict is not False
-        heard = max(customer.news_at, self.peers_at, self.started * self.many)
-        if self.counter or self.now - heard > USAGE_REPORT_TTL_MS:
+        if plan.rate <= 0 or granted is not None:
+            return granted is not False
+        reported_at = max(customer.news_at, self.peers_at, self.started * self.is_large_fleet)
+        if self.uses_counter or self.now - reported_at > USAGE_REPORT_TTL_MS:
             return within
-        lag_s = (METER_LAG_MS if self.metered else PEER_LAG_MS) / 1000.0
-        borrow = customer.shared >= units + customer.others * lag_s
-        return borrow or within or (self.metered and customer.bucket >= units)
+        lag_s = (METER_LAG_MS if self.uses_meter else PEER_LAG_MS) / 1000.0
+        may_borrow = customer.shared >= units + customer.others * lag_s
+        return may_borrow or within or (self.uses_meter and customer.bucket >= units)
 
     def is_cap_likely_full(self, customer: Customer) -> bool:
-        """Tell whether a customer likely has all attempts out that its plan allows, with those of its peers.
+        """Tell whether a customer likely has all concurrent attempts that its plan allows, over all gateways.
 
-        A peer says again and again what is out, so that its silence is soon taken for its end. Until peers
-        were heard for a while the even slice holds.
+        A peer reports its running attempts again and again, so that soon after its last report they count as ended.
+        Until peers have been received for a while, the even share of the limit holds.
         """
-        left = customer.plan.max_open - customer.open
-        unheard = self.now - max(self.started, self.peers_at) > USAGE_REPORT_TTL_MS
-        unheard = unheard or (self.now - self.started < RATE_DECAY_MS and not self.dawn.known)
-        if left <= 0 or not self.peers or unheard:
-            return max(1, int(customer.plan.max_open * customer.even)) <= customer.open or left <= 0
-        left -= int(sum(out for out, at in customer.elsewhere.values() if at > self.now - self.open_life))
-        begun = customer.others * OPEN_LAG_MS / 1000.0  # theirs since: it scatters as Poisson's does
-        fewer = math.exp(-begun) * sum(begun**n / math.factorial(n) for n in range(left))
-        return 1.0 - fewer > (MANY_RISK if self.many else OPEN_RISK)
-
-    def tell_open(self, customer: Customer) -> None:
-        """Tell peers how many attempts are out, at once where the last message is old enough.
-
-        An attempt is over in the time of a few messages, so that a tick would come too late.
+        places_left = customer.plan.max_open - customer.open
+        reports_missing = self.now - max(self.started, self.peers_at) > USAGE_REPORT_TTL_MS
+        reports_missing = reports_missing or (self.now - self.started < RATE_DECAY_MS and not self.initial_fill.known)
+        if places_left <= 0 or not self.uses_peers or reports_missing:
+            return max(1, int(customer.plan.max_open * customer.even)) <= customer.open or places_left <= 0
+        places_left -= int(
+            sum(
+                count
+                for count, reported_at in customer.elsewhere.values()
+                if reported_at > self.now - self.attempt_report_ttl_ms
+            )
+        )
+        # Attempts that the others have started since their reports: their number has a Poisson distribution.
+        mean_started = customer.others * ATTEMPT_REPORT_LAG_MS / 1000.0
+        chance_of_place = math.exp(-mean_started) * sum(mean_started**n / math.factorial(n) for n in range(places_left))
+        return 1.0 - chance_of_place > (MAX_CAP_RISK_LARGE_FLEET if self.is_large_fleet else MAX_CAP_RISK)
+
+    def report_attempts(self, customer: Customer) -> None:
+        """Report to peers how many attempts of a customer are running, at once if the last message is old enough.
+
+        An attempt is over within the time of a few messages, so that the next periodic message would be too late.
         """
-        if not self.peers or customer.plan.max_open <= 0:
+        if not self.uses_peers or customer.plan.max_open <= 0:
             return
         self.opened[customer.code] = self.outs[customer.code] = customer.open
         if not customer.open:
             del self.outs[customer.code]
-        if self.many:
+        if self.is_large_fleet:
             return self.send_to_customer_gateways(customer)
-        wait = self.told_at + self.open_gap - self.now
-        if wait <= 0.0:
-            self.tell_peers()
+        delay_ms = self.told_at + self.attempt_report_interval_ms - self.now
+        if delay_ms <= 0.0:
+            self.broadcast()
         elif not self.tell_due:
             self.tell_due = True
-            self.actions.append(api.SetTimer(wait, 3))
+            self.actions.append(api.SetTimer(delay_ms, 3))
 
     def send_to_customer_gateways(self, customer: Customer) -> None:
-        """Tell a customer's gateways of it: each hears as many words as it sends, and keeps to that."""
-        others = customer.others_of_set(self.settings.position, self.settings.gateways)
-        if not self.set_words(len(others), SET_SHARE * self.settings.peer_messages_per_s):
-            return  # it goes with the next word to all
-        code, told = customer.code, self.told.pop(customer.code, 0.0)
-        opens = [(code, self.opened.pop(code))] if code in self.opened else []
-        self.actions.append(api.Tell(gossip.encode([(code, told)], opens, self.sums), others))
-
-    def tell_peers(self) -> None:
-        """Send what peers were not told yet, as far as a message holds it."""
+        """Report a customer's use to the gateways that it uses.
+
+        Each receives as many of these messages as it sends, so that a limit on the sent ones bounds both.
+        """
+        recipients = customer.others_of_set(self.settings.position, self.settings.gateways)
+        if not self.set_words(len(recipients), TARGETED_BUDGET_SHARE * self.settings.peer_messages_per_s):
+            return  # it goes with the next message to all peers
+        code, units = customer.code, self.told.pop(customer.code, 0.0)
+        attempts = [(code, self.opened.pop(code))] if code in self.opened else []
+        self.actions.append(api.Tell(gossip.encode([(code, units)], attempts, self.sums), recipients))
+
+    def broadcast(self) -> None:
+        """Send to all peers what has not been reported to them yet, as far as one message holds it."""
         content, self.told, self.opened = gossip.pack(self.told, self.opened, self.sums)
         self.actions.append(api.Tell(content))
         self.told_at = self.now
 
-    def others_used(self, customer: Customer, units: float) -> None:
-        """Book what other gateways sent on; what a full store would have lost pays first."""
+    def record_others_usage(self, customer: Customer, units: float) -> None:
+        """Take what other gateways have sent on from the shared bucket.
+
+        Tokens that the bucket lost because it was full are used for this first.
+        """
         self.refill(customer)
-        customer.shared = taken(customer.shared, max(0.0, units - customer.spilled), self.many)
+        customer.shared = taken(customer.shared, max(0.0, units - customer.spilled), self.is_large_fleet)
         customer.spilled, customer.news_at = 0.0, self.now
         customer.others += units * 1000.0 / RATE_DECAY_MS
 
-    def metered_use(self, customer: Customer, used: float) -> None:
-        """Learn the others' use, and the share of demand that the quota bears: the same at all gateways."""
+    def record_metered_usage(self, customer: Customer, used: float) -> None:
+        """Learn the others' use from the meter, and adjust the share of demand that is admitted.
+
+        ``used`` is the metered use as a share of the rate. All gateways see the same and reach the same share.
+        """
         self.refill(customer)
-        step = min(PASS_GAIN, (self.now - customer.news_at) / PASS_MS) * (1.0 - used) / max(1.0, used)
-        customer.share = max(PASS_MIN, min(1.0, customer.share * (1.0 + step)))
+        step = (
+            min(ADMITTED_SHARE_MAX_STEP, (self.now - customer.news_at) / ADMITTED_SHARE_ADJUST_MS)
+            * (1.0 - used)
+            / max(1.0, used)
+        )
+        customer.share = max(ADMITTED_SHARE_MIN, min(1.0, customer.share * (1.0 + step)))
         customer.heard, customer.news_at = True, self.now
-        use = max(0.0, used * customer.plan.rate - customer.sent)
-        customer.others += 0.5 * (use - customer.others) * self.metered
-
-    def ask_counter(self, job: Job) -> bool:
-        """Hold a request while the counter tells what all asked for; crowded, it hears a share for all."""
-        customer, late = job.customer, job.deadline - self.now < 2.0 * self.settings.counter_wait_ms
-        asked = self.counter or (self.many and self.settings.counter and not customer.plan.max_open)
-        if asked and self.many and customer.level_now(self.now) < job.units:  # others only took from it since
-            job.verdict, asked = False, False
-        if not asked or late or customer.plan.rate <= 0 or self.ask_share < self.random.random():
+        others_rate = max(0.0, used * customer.plan.rate - customer.sent)
+        customer.others += 0.5 * (others_rate - customer.others) * self.uses_meter
+
+    def query_counter(self, request: Job) -> bool:
+        """Call the counter for a request and return True, if the request should wait for the answer.
+
+        A counter under load gets calls for a sample of the requests only; each call then stands for several requests.
+        """
+        customer, near_deadline = request.customer, request.deadline - self.now < 2.0 * self.settings.counter_wait_ms
+        wanted = self.uses_counter or (self.is_large_fleet and self.settings.counter and not customer.plan.max_open)
+        # The level is the most that the bucket can hold: the others have only taken from it since.
+        if wanted and self.is_large_fleet and customer.level_now(self.now) < request.units:
+            request.verdict, wanted = False, False
+        if not wanted or near_deadline or customer.plan.rate <= 0 or self.ask_share < self.random.random():
             return False
-        if self.many and self.barred(job):  # what would have to be given back is lost to all until then
+        # Units that would have to be returned are unavailable to all gateways until then.
+        if self.is_large_fleet and self.refusal_cause(request):
             return False
         name = customer.code << 8 | int(self.now / COUNTER_NAME_TTL_MS) & 255
-        job.told = job.units / self.ask_share
-        amount, customer.unsaid = job.told + customer.unsaid, 0.0
-        self.call_counter(name, amount, job, None)
+        request.told = request.units / self.ask_share
+        amount, customer.unsaid = request.told + customer.unsaid, 0.0
+        self.add_to_counter(name, amount, request, None)
         return True
 
-    def call_counter(self, name: int, amount: float, job: Job, seen: float | None) -> None:
-        """Add to a name for a try, or to put right the total that was seen."""
-        self.called(name, (amount, job, self.now, seen))
+    def add_to_counter(self, name: int, amount: float, request: Job, seen_total: float | None) -> None:
+        """Add to a name on the counter, for a request or, with ``seen_total``, to correct the total that was seen."""
+        self.called(name, (amount, request, self.now, seen_total))
         self.actions.append(api.CounterAdd(name, amount, COUNTER_NAME_TTL_MS))
 
     def on_counterreply(self, event: api.CounterReply) -> None:
-        """Book growth beyond our own call as the others', and what a quota bears of all that was asked."""
+        """Decide on the request that waited for this answer, and learn the others' use from the total.
+
+        What the total has grown by beyond this gateway's own call is the others' use.
+        """
         call = self.heard(event.name)
         if call is None:
             return
-        amount, job, asked, seen = call
-        if seen is not None:  # put right: who finds that another did the same takes its own back
-            twice = min(amount, event.total - seen - amount)
-            if event.ending is Ending.OK and twice > 0.5 * amount > 0.0:
-                self.call_counter(event.name, -twice, job, math.inf)
+        amount, request, called_at, seen_total = call
+        if seen_total is not None:
+            # The answer to a correction: if another gateway has made the same one, this gateway takes its own back.
+            duplicate = min(amount, event.total - seen_total - amount)
+            if event.ending is Ending.OK and duplicate > 0.5 * amount > 0.0:
+                self.add_to_counter(event.name, -duplicate, request, math.inf)
             return
-        customer = job.customer
+        customer = request.customer
         if event.ending is Ending.OK:
-            before = customer.total if customer.total_of == event.name else event.total
+            previous_total = customer.total if customer.total_of == event.name else event.total
             customer.total, customer.total_of, customer.heard = event.total, event.name, True
-            if self.counter:  # of many, peers tell of it: it must not count twice
-                self.others_used(customer, max(0.0, event.total - before - amount))
-            job.verdict, put_right = verdict(customer, asked, amount, job.told, job.units, event.total)
-            if put_right and (self.many or self.ask_share >= 1.0) and not job.ended:
-                self.call_counter(event.name, put_right, job, event.total)
+            if self.uses_counter:  # in a large fleet peers report this use: it must not count twice
+                self.record_others_usage(customer, max(0.0, event.total - previous_total - amount))
+            request.verdict, correction = evaluate_total(
+                customer, called_at, amount, request.told, request.units, event.total
+            )
+            if correction and (self.is_large_fleet or self.ask_share >= 1.0) and not request.ended:
+                self.add_to_counter(event.name, correction, request, event.total)
             else:
-                customer.unsaid += min(0.0, put_right)
-            was, percent = self.shares.get(customer.code, 100.0), max(1.0, 100.0 * customer.share)
-            if self.counter and self.settings.peers and max(was, percent) > TOLD_STEP * min(was, percent):
+                customer.unsaid += min(0.0, correction)
+            reported, percent = self.shares.get(customer.code, 100.0), max(1.0, 100.0 * customer.share)
+            if (
+                self.uses_counter
+                and self.settings.peers
+                and max(reported, percent) > SHARE_REPORT_RATIO * min(reported, percent)
+            ):
                 self.told[customer.code] = percent
-                self.remember(customer.code, percent, MOST_SHARES)
-            haste = ASK_HASTE if self.now - self.unheard_at > USAGE_REPORT_TTL_MS else ASK_STEP
-            self.ask_share += min(1.0 - self.ask_share, haste * min(1.0, (self.now - self.asked_at) / 1000.0))
+                self.remember(customer.code, percent, MAX_SHARES)
+            growth_per_s = (
+                COUNTER_SAMPLING_FAST_GROWTH
+                if self.now - self.unheard_at > USAGE_REPORT_TTL_MS
+                else COUNTER_SAMPLING_GROWTH
+            )
+            self.ask_share += min(1.0 - self.ask_share, growth_per_s * min(1.0, (self.now - self.asked_at) / 1000.0))
             self.asked_at = self.now
-        elif asked > self.unheard_at:  # one crowd is one cut, however many calls it held up
-            self.ask_share, self.unheard_at = max(ASK_MIN, self.ask_share * COUNTER_SAMPLING_CUT), self.now
-        if job.ended:  # its client has left meanwhile
-            self.give_back(job)
+        elif called_at > self.unheard_at:  # one overload of the counter is one cut, however many calls it delayed
+            self.ask_share, self.unheard_at = max(COUNTER_SAMPLING_MIN, self.ask_share * COUNTER_SAMPLING_CUT), self.now
+        if request.ended:  # the client has left meanwhile
+            self.give_back(request)
         else:
-            self.admit(job)
+            self.admit(request)
 
     def on_peermessage(self, event: api.PeerMessage) -> None:
-        """Book a peer's use; where a counter measures, the share of demand that it found instead."""
+        """Record a peer's use, or, where the use is measured by the counter, the admitted share that it reports."""
         self.peers_at = self.now
-        uses, opens = gossip.decode(event.content, event.sender, self.heard_sums)
-        for code, told in uses:
+        usages, attempts = gossip.decode(event.content, event.sender, self.heard_sums)
+        for code, value in usages:
             if code == gossip.AGE:
-                if self.dawn.heard(event.sender, told, self.now - self.started):
-                    self.fill_stores()
-            elif code in self.codes and self.peers:
-                self.others_used(self.codes[code], told)
-            elif not self.peers:
-                self.remember(code, told, MOST_SHARES)
+                if self.initial_fill.heard(event.sender, value, self.now - self.started):
+                    self.fill_token_buckets()
+            elif code in self.codes and self.uses_peers:
+                self.record_others_usage(self.codes[code], value)
+            elif not self.uses_peers:
+                self.remember(code, value, MAX_SHARES)
             else:
-                self.strangers.setdefault(code, []).append((self.now, told))
-        for code, out in opens:
+                self.strangers.setdefault(code, []).append((self.now, value))
+        for code, count in attempts:
             if code in self.codes:
-                self.codes[code].elsewhere[event.sender] = out, self.now
-                self.release(self.codes[code])
+                self.codes[code].elsewhere[event.sender] = count, self.now
+                self.admit_waiting(self.codes[code])
+
+    def fill_token_buckets(self) -> None:
+        """Fill every bucket, since all gateways started together.
 
-    def fill_stores(self) -> None:
-        """All began together: what was left out of each store, since others might have used it, is there."""
+        Until this was known, each bucket lacked what the others might have used of it before.
+        """
         for customer in self.customers.values():
             self.refill(customer)
             fill(customer)
 
-    # Correlation and cut
+    # Overload detection and throttling
 
     def close_interval(self) -> None:
-        """Pair each column's units with the interval's pressure, test, and start or lift the cut."""
+        """End an interval: detect overload, test each tracked customer, and start or lift its throttle.
+
+        A customer's units per interval are correlated with the load pressure of the same intervals.
+        """
         self.actions.append(api.SetTimer(INTERVAL_MS, 0))
         self.interval_due = self.now + INTERVAL_MS
-        lateness, bad = self.lateness / max(1.0, self.served), self.bad / max(MIN_ENDS, self.ends)
-        was, (late, failed) = self.pressed, RELIEVED if self.pressed else PRESSED
-        self.pressed = lateness > late or bad > failed
-        wait = statistics.median(self.waits or [0.0]) / SHED_WAIT - 1.0
-        self.slow = wait > 0.0
-        self.set_pace(wait)
+        lateness, bad = self.lateness / max(1.0, self.served), self.bad / max(MIN_OUTCOMES, self.ends)
+        was_overloaded, (max_lateness, max_bad) = self.pressed, OVERLOAD_END if self.pressed else OVERLOAD_START
+        self.pressed = lateness > max_lateness or bad > max_bad
+        latency_excess = statistics.median(self.waits or [0.0]) / SHED_LATENCY - 1.0
+        self.slow = latency_excess > 0.0
+        self.update_admission_rate(latency_excess)
         for customer in self.columns.values():
             self.refill(customer)
             customer.pairs = [*customer.pairs[1 - CORRELATION_WINDOW :], (customer.units, lateness + bad)]
-            tested = len(customer.pairs) >= MIN_INTERVALS and significant(customer.pairs, NORMAL_QUANTILE)
-            customer.runs = customer.runs + 1 if tested else 0
-            beyond = customer.demand + customer.others > SPARED_USE * customer.plan.rate
-            if not self.pressed or customer.runs < FLAG_RUNS:
+            flagged = len(customer.pairs) >= MIN_INTERVALS and significant(customer.pairs, NORMAL_QUANTILE)
+            customer.runs = customer.runs + 1 if flagged else 0
+            near_quota = customer.demand + customer.others > THROTTLE_MIN_USE * customer.plan.rate
+            if not self.pressed or customer.runs < MIN_CONSECUTIVE_FLAGS:
                 customer.cut_rate = 0.0
-            elif not customer.cut_rate and beyond:
-                customer.cut_rate = customer.demand * CUT_RATIO
-        if was != self.pressed:
-            self.actions.append(api.Note(f"pressed {self.pressed}: {lateness:.2f} late, {bad:.2f} bad"))
-        known = self.columns | self.asked
+            elif not customer.cut_rate and near_quota:
+                customer.cut_rate = customer.demand * THROTTLE_RATIO
+        if was_overloaded != self.pressed:
+            self.actions.append(
+                api.Note(
+                    f"overloaded: {self.pressed}; mean latency {lateness:.2f} times the target, "
+                    f"{bad:.2f} of outcomes full or timed out"
+                )
+            )
+        active = self.columns | self.asked
         self.columns = {
-            c.code: c for c in heapq.nlargest(MAX_TRACKED_CUSTOMERS, known.values(), key=lambda c: c.demand)
+            c.code: c for c in heapq.nlargest(MAX_TRACKED_CUSTOMERS, active.values(), key=lambda c: c.demand)
         }
-        for code, customer in known.items():
+        for code, customer in active.items():
             customer.units = 0.0
             if code not in self.columns:
                 customer.leave_column()
-        warm = sum(link.cold_since is None and self.now >= link.ejected_until for link in self.ready)
-        self.warm_rate += 0.2 * (self.warm_sends / max(1, warm) - self.warm_rate) * (warm > 0)
+        warm_servers = sum(
+            server_state.cold_since is None and self.now >= server_state.ejected_until for server_state in self.ready
+        )
+        self.warm_rate += 0.2 * (self.warm_sends / max(1, warm_servers) - self.warm_rate) * (warm_servers > 0)
         self.lateness = self.served = self.bad = self.ends = self.warm_sends = 0.0
         self.asked = {}
         self.forget(self.now - IDLE_CUSTOMER_TTL_MS)
 
-    def set_pace(self, wait: float) -> None:
-        """Bound what is let in by a rate of our own for all servers: tries may multiply, servers do not.
+    def update_admission_rate(self, latency_excess: float) -> None:
+        """Adapt this gateway's own rate of admitted requests, for all servers together.
 
-        Also against floods, failed-over traffic, replayed backlogs. It hurts where true demand doubles.
+        The rate bounds the load when clients' tries multiply, since servers do not. It also holds against floods,
+        traffic that fails over and replayed backlogs. Its cost: it refuses requests where true demand doubles.
+        ``latency_excess`` is how far the median latency is above (or, if negative, below) the point of shedding.
         """
-        self.passed += (PASSED_GAIN if self.passed else 1.0) * (self.passes - self.passed)
+        self.passed += (ADMITTED_EWMA_WEIGHT if self.passed else 1.0) * (self.passes - self.passed)
         if self.slow and self.ends:
-            cut = PACE_CUT * min(1.0, wait) * min(1.0, self.ends / FULL_CUT_ENDS)  # few answers are old news
+            # With few outcomes in the interval, the latencies are old and the cut is smaller.
+            cut = ADMISSION_RATE_CUT * min(1.0, latency_excess) * min(1.0, self.ends / FULL_CUT_OUTCOMES)
             self.pace = min(self.pace, 1.0 + self.passed) * (1.0 - cut)
         elif not self.slow:
-            self.pace *= 1.0 + PACE_STEP - PACE_HASTE * min(0.0, wait)
-        most = max(self.first_pace, PACE_SLACK * (1.0 + self.passed))
-        self.pace = max(ADMISSION_RATE_MIN, min(most, self.pace))
-        self.passes, self.waits = 0.0, self.waits[len(self.waits) // 3 :]  # old news fades
+            self.pace *= 1.0 + ADMISSION_RATE_GROWTH - ADMISSION_RATE_FAST_GROWTH * min(0.0, latency_excess)
+        max_rate = max(self.first_pace, ADMISSION_RATE_SLACK * (1.0 + self.passed))
+        self.pace = max(ADMISSION_RATE_MIN, min(max_rate, self.pace))
+        # The oldest third of the latencies is dropped, so that they do not count for ever.
+        self.passes, self.waits = 0.0, self.waits[len(self.waits) // 3 :]
 
     # Servers and health
 
     def on_serverlist(self, event: api.ServerList) -> None:
-        """Follow discovery; who drains or is gone gets nothing new from this moment on."""
+        """Follow discovery: a server that drains or is gone gets no new attempts from now on."""
         if event.kind == "failed" and self.settings.subscribe:
             self.actions.append(api.SetTimer(INTERVAL_MS, 2))
         elif event.kind in ("full", "cached"):
-            named = {server.address for server in event.servers}
-            self.links = {address: link for address, link in self.links.items() if address in named}
+            listed = {server.address for server in event.servers}
+            self.links = {address: server_state for address, server_state in self.links.items() if address in listed}
         for server in event.servers:
-            link = self.links.get(server.address)
-            if link is None or server.since_ms > link.server.since_ms:
-                link = Link(server, self.first_limit, initial_cold_allowance(server.address, self.settings), self.now)
-                self.links[server.address] = link
-            link.server = server
+            server_state = self.links.get(server.address)
+            if server_state is None or server.since_ms > server_state.server.since_ms:
+                server_state = Link(
+                    server, self.initial_limit, initial_cold_allowance(server.address, self.settings), self.now
+                )
+                self.links[server.address] = server_state
+            server_state.server = server
             if server.since_ms and self.now - server.since_ms < self.settings.cold_ms:
-                link.cold_since = max(link.cold_since or 0.0, server.since_ms)
+                server_state.cold_since = max(server_state.cold_since or 0.0, server.since_ms)
             if server.phase == "deregistered":
                 del self.links[server.address]
-        self.ready = [link for link in self.links.values() if link.server.phase == "healthy"]
+        self.ready = [server_state for server_state in self.links.values() if server_state.server.phase == "healthy"]
         self.first_pace = max(ADMISSION_RATE_MIN, LIMIT_START * len(self.ready) / self.settings.gateways)
-        if not self.passed:  # nothing known: as many a second as may be out at first
+        if not self.passed:  # nothing is known yet: per second as many as may run at first
             self.pace = self.first_pace
 
-    def pick(self, job: Job) -> Link | None:
-        """Pick a server, in the first of the request's pools that has one with room."""
-        if not job.event.pools:
-            return self.least(job, self.ready)
-        ways = ([link for link in self.ready if link.server.pool == pool] for pool in job.event.pools)
-        return next(filter(None, (self.least(job, way) for way in ways)), None)
-
-    def least(self, job: Job, ready: list[Link]) -> Link | None:
-        """Pick the least expected wait among servers with room, by work out and measured slowness."""
-        best, least = None, math.inf
-        for link in self.random.sample(ready, min(SAMPLE, len(ready))):
-            ramp = cold_start_share(link, self.now, self.settings, self.warm_rate)
-            quiet = link.out > 0 and link.heard < self.now - QUIET_WAIT * job.kind.aim_ms < link.sent
-            used = any(attempt.link is link for attempt in job.attempts)
-            shut = link.out >= max(1.0, link.limit * ramp) or self.now < link.ejected_until
-            if not ramp or quiet or used or shut or not self.allowed(job, link.server):
+    def pick_server(self, request: Job) -> Link | None:
+        """Pick a server from the first of the request's pools that has one with capacity."""
+        if not request.event.pools:
+            return self.cheapest_server(request, self.ready)
+        pools = (
+            [server_state for server_state in self.ready if server_state.server.pool == pool]
+            for pool in request.event.pools
+        )
+        return next(filter(None, (self.cheapest_server(request, candidates) for candidates in pools)), None)
+
+    def cheapest_server(self, request: Job, candidates: list[Link]) -> Link | None:
+        """Pick the server with the least expected wait among a sample of those with capacity.
+
+        The expected wait follows from a server's load, its measured slowness and its health for the request's class.
+        """
+        cheapest, lowest_cost = None, math.inf
+        for candidate in self.random.sample(candidates, min(SERVER_SAMPLE_SIZE, len(candidates))):
+            share = cold_start_share(candidate, self.now, self.settings, self.warm_rate)
+            # Only if its last attempt is recent: a single stuck attempt must not exclude a server for ever.
+            silent = (
+                candidate.out > 0
+                and candidate.heard < self.now - SILENCE_LATENCY * request.kind.aim_ms < candidate.sent
+            )
+            already_tried = any(attempt.link is candidate for attempt in request.attempts)
+            unavailable = candidate.out >= max(1.0, candidate.limit * share) or self.now < candidate.ejected_until
+            if not share or silent or already_tried or unavailable or not self.may_send_to(request, candidate.server):
                 continue
-            slowness = faded(link.slowness, 1.0, (self.now - link.measured) / FORGIVE_MS)
-            rest = self.crowd * (link.cold_since is None)  # old news of it tells less than all do
-            others = faded(link.others, rest, (self.now - link.reported) / REPORT_MS)
-            cost = (link.out + others + 1.0) * slowness / max(0.01, link.server.weight)
-            good, at = link.health.get(job.index, (1.0, -math.inf))  # the chance that it answers this class
-            cost /= max(TRUST_MIN, faded(good, 1.0 - self.failure_rates[job.index], (self.now - at) / TRUST_MS)) ** 2
-            crossing = CROSSING * self.settings.cross_zone_price * (link.server.zone != self.settings.zone)
-            opening = OPENING * self.settings.handshake_price * (not link.sent)  # most likely not connected
-            cost *= 1.0 + crossing + opening + JITTER * self.random.random()
-            if cost < least:
-                best, least = link, cost
-        return best
-
-    def note_health(self, link: Link, job: Job, good: bool) -> None:
-        """Remember how a server did for a class, and how the class does everywhere."""
-        if good or not self.slow:  # all slow is overload: crowding the few that were quick makes it worse
-            link.health[job.index] = (0.5 * (link.health.get(job.index, (1.0, 0.0))[0] + good), self.now)
-            self.failure_rates[job.index] += FAULT_GAIN * ((not good) - self.failure_rates[job.index])
-
-    def judge(self, link: Link, event: api.Outcome, job: Job) -> None:
-        """Learn from how an attempt ended: latency, concurrency limit, outlier ejection."""
-        ending, lateness = event.ending, event.latency_ms / job.kind.aim_ms
+            slowness = faded(candidate.slowness, 1.0, (self.now - candidate.measured) / SLOWNESS_HALF_LIFE_MS)
+            # An old load report tells less than the average over all servers; a cold server is assumed idle.
+            usual_others = self.crowd * (candidate.cold_since is None)
+            others = faded(candidate.others, usual_others, (self.now - candidate.reported) / LOAD_REPORT_HALF_LIFE_MS)
+            cost = (candidate.out + others + 1.0) * slowness / max(0.01, candidate.server.weight)
+            # The probability that the server answers this class, and when it was last updated.
+            health, updated_at = candidate.health.get(request.index, (1.0, -math.inf))
+            cost /= (
+                max(
+                    MIN_HEALTH,
+                    faded(
+                        health,
+                        1.0 - self.failure_rates[request.index],
+                        (self.now - updated_at) / HEALTH_HALF_LIFE_MS,
+                    ),
+                )
+                ** 2
+            )
+            zone_cost = CROSS_ZONE_COST * self.settings.cross_zone_price * (candidate.server.zone != self.settings.zone)
+            # A server that got no attempt from here yet has most likely no open connection.
+            handshake_cost = HANDSHAKE_COST * self.settings.handshake_price * (not candidate.sent)
+            cost *= 1.0 + zone_cost + handshake_cost + COST_JITTER * self.random.random()
+            if cost < lowest_cost:
+                cheapest, lowest_cost = candidate, cost
+        return cheapest
+
+    def record_health(self, server_state: Link, request: Job, good: bool) -> None:
+        """Record whether a server answered a class, and how often the class fails everywhere.
+
+        While the whole fleet is slow, failures are not recorded: that is overload, and sending everything to the few
+        servers that were quick would make it worse.
+        """
+        if good or not self.slow:
+            server_state.health[request.index] = (
+                0.5 * (server_state.health.get(request.index, (1.0, 0.0))[0] + good),
+                self.now,
+            )
+            self.failure_rates[request.index] += FAILURE_EWMA_WEIGHT * ((not good) - self.failure_rates[request.index])
+
+    def learn_from_outcome(self, server_state: Link, event: api.Outcome, request: Job) -> None:
+        """Learn from how an attempt ended: latency, the server's concurrency limit, outlier ejection."""
+        ending, lateness = event.ending, event.latency_ms / request.kind.aim_ms
         self.ends += ending not in (Ending.MOOT, Ending.CANCELLED)
         self.bad += ending in (Ending.FULL, Ending.TIMEOUT)
-        ratio = event.latency_ms / max(1e-3, self.expected(job))
-        telling = ending is Ending.OK or (ending is Ending.TIMEOUT and ratio > 1.0)  # not a short time-out
-        if telling and self.stalled < self.now:
-            self.latency[job.kind] *= 1.0 + FLEET_EWMA_WEIGHT * (ratio - 1.0)
-            link.slowness += LATENCY_GAIN * (min(ratio, 10.0) - link.slowness)
-            link.wait += LATENCY_GAIN * (lateness - link.wait)
-            if not job.overdue and link.cold_since is None:  # slow start is no overload
-                self.waits = [*self.waits[1 - WAITS :], lateness]
-            link.measured, served = self.now, ending is Ending.OK
+        relative_latency = event.latency_ms / max(1e-3, self.expected_ms(request))
+        # A time-out that was shorter than the expected latency says nothing about the server.
+        informative = ending is Ending.OK or (ending is Ending.TIMEOUT and relative_latency > 1.0)
+        if informative and self.stalled < self.now:
+            self.latency[request.kind] *= 1.0 + FLEET_EWMA_WEIGHT * (relative_latency - 1.0)
+            server_state.slowness += SERVER_EWMA_WEIGHT * (min(relative_latency, 10.0) - server_state.slowness)
+            server_state.wait += SERVER_EWMA_WEIGHT * (lateness - server_state.wait)
+            if not request.overdue and server_state.cold_since is None:  # slow start is no overload
+                self.waits = [*self.waits[1 - LATENCY_SAMPLES :], lateness]
+            server_state.measured, served = self.now, ending is Ending.OK
             self.served, self.lateness = self.served + served, self.lateness + lateness * served
-            if link.wait < CALM_WAIT and link.out + 1.0 > 0.5 * link.limit:  # only a limit in use is tested
-                link.limit = min(LIMIT_MAX, link.limit + 1.0 / link.limit)
-        if (link.wait > FULL_WAIT or ending is Ending.FULL) and self.now - link.limit_cut > LIMIT_CUT_MS:
-            link.limit, link.limit_cut = max(LIMIT_MIN, link.limit * LIMIT_CUT), self.now
+            # A limit grows only while it is in use: otherwise the latency says nothing about it.
+            if server_state.wait < LIMIT_GROWTH_LATENCY and server_state.out + 1.0 > 0.5 * server_state.limit:
+                server_state.limit = min(LIMIT_MAX, server_state.limit + 1.0 / server_state.limit)
+        if (
+            server_state.wait > LIMIT_CUT_LATENCY or ending is Ending.FULL
+        ) and self.now - server_state.limit_cut > LIMIT_CUT_INTERVAL_MS:
+            server_state.limit, server_state.limit_cut = max(LIMIT_MIN, server_state.limit * LIMIT_CUT_FACTOR), self.now
         if ending in (Ending.OK, Ending.FULL):
-            if link.down_at:  # back from the dead: cold, though the list may not say so yet
-                link.cold_since = max(link.cold_since or 0.0, link.down_at)
-            link.ejections, link.down_at = 0, 0.0
-        link.resets = link.resets + 1 if ending is Ending.RESET else 0
-        if ending is Ending.CONNECT_FAILED or link.resets >= RESETS:  # trust meets the rest
-            if ending is Ending.CONNECT_FAILED:  # a proof of death: it will be cold when it is back
-                link.down_at = self.now
-            if self.now >= link.ejected_until:
-                pause = min(EJECT_MAX_MS, EJECTION_MIN_MS * 2.0**link.ejections)
-                link.ejected_until, link.ejections = self.now + pause, link.ejections + 1
-                self.actions.append(api.Note(f"ejected {link.server.address}, time {link.ejections}"))
-        if telling or ending in (Ending.ERROR, Ending.RESET):
-            self.note_health(link, job, ending is Ending.OK)
+            if server_state.down_at:  # back after a failure: cold, though the list may not say so yet
+                server_state.cold_since = max(server_state.cold_since or 0.0, server_state.down_at)
+            server_state.ejections, server_state.down_at = 0, 0.0
+        server_state.resets = server_state.resets + 1 if ending is Ending.RESET else 0
+        # Servers that fail in other ways are not ejected: their recorded health makes them costly.
+        if ending is Ending.CONNECT_FAILED or server_state.resets >= EJECTION_RESETS:
+            if ending is Ending.CONNECT_FAILED:  # proves that the server is down: it will be cold when it is back
+                server_state.down_at = self.now
+            if self.now >= server_state.ejected_until:
+                ejection_ms = min(EJECTION_MAX_MS, EJECTION_MIN_MS * 2.0**server_state.ejections)
+                server_state.ejected_until, server_state.ejections = self.now + ejection_ms, server_state.ejections + 1
+                self.actions.append(
+                    api.Note(
+                        f"server {server_state.server.address} ejected, ejections in a row: {server_state.ejections}"
+                    )
+                )
+        if informative or ending in (Ending.ERROR, Ending.RESET):
+            self.record_health(server_state, request, ending is Ending.OK)
         if "rif" in event.report:
-            link.others, link.reported = max(0.0, event.report["rif"] - link.out), self.now
-            self.crowd += FLEET_EWMA_WEIGHT * (link.others - self.crowd)
+            server_state.others, server_state.reported = max(0.0, event.report["rif"] - server_state.out), self.now
+            self.crowd += FLEET_EWMA_WEIGHT * (server_state.others - self.crowd)
 
     # Attempts
 
-    def send(self, job: Job, link: Link) -> None:
-        """Start an attempt that ends when its answer is worth nothing more; see to its being overdue."""
-        job.start(link, self.now)
-        trusted = link.health.get(job.index, (1.0, 0.0))[0] >= TRUSTED  # not who fails
-        self.out, self.warm_sends = self.out + 1.0, self.warm_sends + (link.cold_since is None and trusted)
-        self.actions.append(job.last_send(self.now, WINDOW_MARGIN))
-        if len(job.attempts) == 1:
-            wait = max(OVERDUE_MIN * job.kind.aim_ms, OVERDUE * self.expected(job))
-            self.actions.append(api.SetTimer(min(OVERDUE_MAX * job.kind.aim_ms, wait), job.id + FIRST_REQUEST_TOKEN))
-
-    def hopeless(self, job: Job) -> bool:
-        """Tell whether too little time is left for an answer of worth, or for an attempt to end in order."""
-        return self.now + max(LEAST_MS, 0.5 * self.expected(job)) > job.useful_until
-
-    def expected(self, job: Job) -> float:
-        """Give the ms that this request should take on an ordinary server."""
-        return self.latency[job.kind] * max(0.1, job.units)
-
-    def again(self, job: Job, price: float) -> bool:
-        """Send another attempt, if rules, retry budget and the time left allow."""
-        if len(job.attempts) >= self.settings.max_attempts or self.hopeless(job):
+    def start_attempt(self, request: Job, server_state: Link) -> None:
+        """Start an attempt that ends when its answer is worth nothing more; time the first one for being overdue."""
+        request.start(server_state, self.now)
+        good = server_state.health.get(request.index, (1.0, 0.0))[0] >= GOOD_HEALTH
+        # What a failing server is sent is no measure of what a warm one serves.
+        self.out, self.warm_sends = self.out + 1.0, self.warm_sends + (server_state.cold_since is None and good)
+        self.actions.append(request.last_send(self.now, WINDOW_MARGIN))
+        if len(request.attempts) == 1:
+            overdue_ms = max(OVERDUE_MIN * request.kind.aim_ms, OVERDUE_LATENCIES * self.expected_ms(request))
+            self.actions.append(
+                api.SetTimer(min(OVERDUE_MAX * request.kind.aim_ms, overdue_ms), request.id + FIRST_REQUEST_TOKEN)
+            )
+
+    def is_too_late(self, request: Job) -> bool:
+        """Tell whether too little time is left for an answer that is worth something, or for an attempt to finish."""
+        return self.now + max(MIN_ANSWER_MS, 0.5 * self.expected_ms(request)) > request.useful_until
+
+    def expected_ms(self, request: Job) -> float:
+        """Return the time in ms that a request should take on an ordinary server."""
+        return self.latency[request.kind] * max(0.1, request.units)
+
+    def retry(self, request: Job, cost: float) -> bool:
+        """Start another attempt, if the rules, the retry budget and the time left allow it."""
+        if len(request.attempts) >= self.settings.max_attempts or self.is_too_late(request):
             return False
-        link = self.pick(job) if self.retries >= price else None
-        if link is not None:
-            self.retries -= price
-            self.send(job, link)
-        return link is not None
-
-    # Rule guards
-
-    def allowed(self, job: Job, server: api.Server) -> bool:
-        """Effects: what may have run goes out again only if repeatable, or keyed, in its group and window."""
-        kind, first, late = job.kind, job.ran_server, job.repeat_by(WINDOW_MARGIN)
-        if kind.effect is Effect.REPEATABLE or job.never_ran:
+        server_state = self.pick_server(request) if self.retries >= cost else None
+        if server_state is not None:
+            self.retries -= cost
+            self.start_attempt(request, server_state)
+        return server_state is not None
+
+    # Guards of the rules
+
+    def may_send_to(self, request: Job, server: api.Server) -> bool:
+        """Tell whether the effects of a request allow an attempt at a server.
+
+        A request that may have run is sent again only if it is repeatable, or if it is keyed and the server is in
+        the same group as the first and the window of its key is still open.
+        """
+        request_class, first_server, repeat_by = request.kind, request.ran_server, request.repeat_by(WINDOW_MARGIN)
+        if request_class.effect is Effect.REPEATABLE or request.never_ran:
             return True
-        if kind.effect is Effect.ONCE or first is None or self.now > late:
+        if request_class.effect is Effect.ONCE or first_server is None or self.now > repeat_by:
             return False
-        return kind.group == "all" or getattr(server, kind.group) == getattr(first, kind.group)
-
-    def finish(self, job: Job) -> None:
-        """Give the one final answer: a refusal promises that a retry is harmless, a failure nothing."""
-        keyed = job.kind.effect is Effect.KEYED and job.kind.group == "all"
-        harmless = job.kind.effect is Effect.REPEATABLE or keyed or job.never_ran
-        refusal = api.Refuse(job.id, min(self.advice(job), self.settings.max_retry_after_ms), job.cause)
-        self.actions.append(refusal if harmless else api.Fail(job.id))
-        self.end(job.event)
-
-    def advice(self, job: Job) -> float:
-        """Say when to come back: soon where only the cap on attempts out was in the way, else late."""
-        if job.cause == "open" and not self.pressed:
-            return max(BACK_MS, statistics.fmean(self.latency.values()))
+        return request_class.group == "all" or getattr(server, request_class.group) == getattr(
+            first_server, request_class.group
+        )
+
+    def answer_unserved(self, request: Job) -> None:
+        """Give the final answer to a request that is not served: a refusal or a failure.
+
+        A refusal promises that a retry by the client is harmless, a failure promises nothing.
+        """
+        keyed_everywhere = request.kind.effect is Effect.KEYED and request.kind.group == "all"
+        harmless = request.kind.effect is Effect.REPEATABLE or keyed_everywhere or request.never_ran
+        refusal = api.Refuse(
+            request.id, min(self.retry_delay_ms(request), self.settings.max_retry_after_ms), request.cause
+        )
+        self.actions.append(refusal if harmless else api.Fail(request.id))
+        self.end_request(request.event)
+
+    def retry_delay_ms(self, request: Job) -> float:
+        """Return when the client should retry.
+
+        Soon, if only the limit on concurrent attempts was in the way; otherwise as late as the settings allow.
+        """
+        if request.cause == "open" and not self.pressed:
+            return max(MIN_RETRY_AFTER_MS, statistics.fmean(self.latency.values()))
         return math.inf
 
-    def end(self, event: api.Event) -> None:
-        """Owe nothing more; call off copies still out, and forget the request with the last of them."""
-        job = self.jobs.get(getattr(event, "request", -1))
-        if job is None:
+    def end_request(self, event: api.Event) -> None:
+        """Mark a request as answered and cancel its running attempts; forget it when the last of them has ended."""
+        request = self.jobs.get(getattr(event, "request", -1))
+        if request is None:
             return
         streaming = event.attempt if isinstance(event, api.StreamStarted) else -1
-        for index, attempt in enumerate(job.attempts):
-            if attempt.out and index != streaming and self.settings.cancel and not job.ended:
-                self.actions.append(api.Cancel(job.id, index))
-        job.ended = True
-        if not job.waiting:
-            del self.jobs[job.id]
-            self.give_back(job)
+        for index, attempt in enumerate(request.attempts):
+            if attempt.out and index != streaming and self.settings.cancel and not request.ended:
+                self.actions.append(api.Cancel(request.id, index))
+        request.ended = True
+        if not request.waiting:
+            del self.jobs[request.id]
+            self.give_back(request)
 
     # Events
 
@@ -516,19 +766,21 @@
             self.on_alarm(api.Alarm(token))
 
     def on_arrival(self, event: api.Arrival) -> None:
-        """Count the request, then decide on it, once the counter has been heard where there is one."""
+        """Record a new request and decide on it, after the counter's answer if it is asked."""
         customer, plan = self.customers.get(event.customer), self.settings.plans[event.plan]
         if customer is None:
             code = zlib.crc32(event.customer.encode())
             customer = Customer(plan, event.set_size, code, self.now, self.now - USAGE_REPORT_TTL_MS, event.set_first)
-            told = self.shares.get(code, 100.0) / 100.0
-            customer.share = told if self.counter or self.metered else customer.even
-            if self.peers:  # the store less what was told of it, where peers were heard for a while
-                heard = self.dawn.known or self.now - self.started > USAGE_REPORT_TTL_MS
-                heard = heard and self.now - self.peers_at < USAGE_REPORT_TTL_MS
+            reported_share = self.shares.get(code, 100.0) / 100.0
+            customer.share = reported_share if self.uses_counter or self.uses_meter else customer.even
+            # If peers have been received for a while, the bucket is full less what they reported of the customer.
+            if self.uses_peers:
+                peers_known = self.initial_fill.known or self.now - self.started > USAGE_REPORT_TTL_MS
+                peers_known = peers_known and self.now - self.peers_at < USAGE_REPORT_TTL_MS
                 used = self.strangers.pop(code, [])
-                # Of many, a slice is under one request: it would give nobody any until news comes.
-                left = left_of(plan, used, self.now) if heard or self.many else 0.0
+                # In a large fleet an even share is less than one request: until reports come, no gateway could admit
+                # any. So the bucket counts from the start there, whether peers have been received or not.
+                left = left_of(plan, used, self.now) if peers_known or self.is_large_fleet else 0.0
                 customer.shared = max(plan.burst * customer.even, left)
             customer.cap = (
                 customer.even * plan.ceiling_rate * min(IDLE_CUSTOMER_TTL_MS, self.now - self.started) / 1000.0
@@ -536,101 +788,119 @@
             customer.owned = self.owner.account(customer, self.now) if self.owner else None
             self.customers[event.customer] = self.codes[code] = customer
         self.refill(customer)
-        if not self.timed(customer) or self.now - customer.seen > RATE_DECAY_MS:  # too seldom for rates
-            most = max(event.units, plan.burst * customer.even)
-            customer.bucket = min(most, customer.bucket + customer.share * event.units)
+        # If the bucket does not fill with time, or the customer comes too seldom for its rates to be known, each
+        # request earns the admitted share of its units.
+        if not self.fills_by_time(customer) or self.now - customer.seen > RATE_DECAY_MS:
+            capacity = max(event.units, plan.burst * customer.even)
+            customer.bucket = min(capacity, customer.bucket + customer.share * event.units)
         customer.ask(self.now, event.units, event.units * 1000.0 / RATE_DECAY_MS)
         self.asked[customer.code] = customer
-        kind = self.settings.classes[event.request_class]
-        useful = AIM_MARGIN * kind.aim_ms if kind.late_worth <= 0 else event.left_ms
-        job = self.jobs[event.request] = Job(event, kind, customer, self.now, min(event.left_ms, useful))
-        if not self.ask_counter(job):
-            self.admit(job)
-
-    def barred(self, job: Job) -> str:
-        """Say whether ceiling, cut, time or pace refuse a request, whatever its quota holds."""
-        customer, units = job.customer, job.units
+        request_class = self.settings.classes[event.request_class]
+        useful_ms = AIM_MARGIN * request_class.aim_ms if request_class.late_worth <= 0 else event.left_ms
+        request = self.jobs[event.request] = Job(
+            event, request_class, customer, self.now, min(event.left_ms, useful_ms)
+        )
+        if not self.query_counter(request):
+            self.admit(request)
+
+    def refusal_cause(self, request: Job) -> str:
+        """Return why a request is refused whatever its quota holds, or an empty string.
+
+        The causes are the customer's ceiling ("ceiling"), its throttle ("cut"), too little time left ("time") and the
+        admission rate ("pace").
+        """
+        customer, units = request.customer, request.units
         self.refill(customer)
-        refused = "ceiling" if customer.plan.ceiling_rate > 0 and customer.cap < units else ""
-        refused = refused or "cut" * (customer.cut_rate > 0 and customer.cut_store < units)
-        refused = refused or "time" * self.hopeless(job)
-        known = job.verdict or (customer.share > KNOWN and customer.heard)
-        if self.first_limit <= LIMIT_MIN:  # no limit of a server is left to fall
-            fill = self.pace * (self.now - self.paced_at) / 1000.0
-            self.room_store, self.paced_at = min(2.0 + 0.5 * self.pace, self.room_store + fill), self.now
-            most = 1.0 + self.pace * PACE_OUT * job.kind.aim_ms / 1000.0  # Little's law: before answers tell
-            refused = refused or "pace" * (self.room_store < (1.0 if known else DOUBT) or self.out >= most)
-        return refused
-
-    def admit(self, job: Job) -> None:
-        """What bars it, then its quota, then a server with room; else refuse at once."""
-        customer, units, job.cause = job.customer, job.units, self.barred(job)
-        job.cause = job.cause or "quota" * (not self.within_quota(customer, units, job.verdict))
-        job.cause = job.cause or "open" * (customer.plan.max_open > 0 and self.is_cap_likely_full(customer))
-        if job.cause == "open" and self.waiting_requests.take(job, self.now, self.expected(job)):
-            if not self.waiting_requests.due:
-                self.waiting_requests.due = True
-                self.actions.append(api.SetTimer(STEP_MS, 4))
+        cause = "ceiling" if customer.plan.ceiling_rate > 0 and customer.cap < units else ""
+        cause = cause or "cut" * (customer.cut_rate > 0 and customer.cut_store < units)
+        cause = cause or "time" * self.is_too_late(request)
+        confirmed = request.verdict or (customer.share > LIKELY_WITHIN_QUOTA and customer.heard)
+        # Needed only where the servers' limits begin at their minimum, so that cutting them cannot reduce the load.
+        if self.initial_limit <= LIMIT_MIN:
+            earned = self.pace * (self.now - self.paced_at) / 1000.0
+            self.room_store, self.paced_at = min(2.0 + 0.5 * self.pace, self.room_store + earned), self.now
+            # Little's law: the number of running attempts shows a slow fleet before any answer does.
+            max_running = 1.0 + self.pace * CONCURRENCY_LATENCY * request.kind.aim_ms / 1000.0
+            cause = cause or "pace" * (
+                self.room_store < (1.0 if confirmed else UNCONFIRMED_RESERVE) or self.out >= max_running
+            )
+        return cause
+
+    def admit(self, request: Job) -> None:
+        """Start the first attempt of a request, or let it wait for a place, or refuse it at once.
+
+        Checked in this order: what refuses it whatever its quota holds, its quota, the limit on its customer's
+        concurrent attempts, and whether a server has capacity.
+        """
+        customer, units, request.cause = request.customer, request.units, self.refusal_cause(request)
+        request.cause = request.cause or "quota" * (not self.within_quota(customer, units, request.verdict))
+        request.cause = request.cause or "open" * (customer.plan.max_open > 0 and self.is_cap_likely_full(customer))
+        if request.cause == "open" and self.waiting_requests.try_add(request, self.now, self.expected_ms(request)):
+            if not self.waiting_requests.recheck_scheduled:
+                self.waiting_requests.recheck_scheduled = True
+                self.actions.append(api.SetTimer(RECHECK_INTERVAL_MS, 4))
             return
-        link = None if job.cause else self.pick(job)
-        if link is None:
-            self.finish(job)
+        server_state = None if request.cause else self.pick_server(request)
+        if server_state is None:
+            self.answer_unserved(request)
             return
         self.room_store, self.passes = self.room_store - 1.0, self.passes + 1.0
-        job.draw(units * 1000.0 / RATE_DECAY_MS)
-        if self.peers:
+        request.draw(units * 1000.0 / RATE_DECAY_MS)
+        if self.uses_peers:
             self.told[customer.code] = self.told.get(customer.code, 0.0) + units
-        self.retries = min(RETRY_CAP, self.retries + RETRY_BUDGET_PER_REQUEST)
-        self.send(job, link)
-        self.tell_open(customer)
+        self.retries = min(RETRY_BUDGET_MAX, self.retries + RETRY_BUDGET_PER_REQUEST)
+        self.start_attempt(request, server_state)
+        self.report_attempts(customer)
 
-    def release(self, customer: Customer | None) -> None:
-        """Decide anew on those that wait for a place of a customer, or for any."""
-        for job in self.waiting_requests.leave(customer):
-            self.admit(job)
+    def admit_waiting(self, customer: Customer | None) -> None:
+        """Decide again on the waiting requests of a customer, or of all for None."""
+        for request in self.waiting_requests.pop_all(customer):
+            self.admit(request)
 
     def on_outcome(self, event: api.Outcome) -> None:
-        """Book the attempt, learn from it, and answer or try again where the answer is still owed."""
-        job = self.jobs.get(event.request)
-        if job is None or event.attempt >= len(job.attempts) or not job.attempts[event.attempt].out:
+        """Record the end of an attempt, learn from it, and answer or retry if the request is still unanswered."""
+        request = self.jobs.get(event.request)
+        if request is None or event.attempt >= len(request.attempts) or not request.attempts[event.attempt].out:
             return
-        attempt, customer = job.attempts[event.attempt], job.customer
-        ran = job.settle(attempt, self.now, event.ending)
-        cost = price(event, ran, self.expected(job))
+        attempt, customer = request.attempts[event.attempt], request.customer
+        ran = request.settle(attempt, self.now, event.ending)
+        cost = retry_cost(event, ran, self.expected_ms(request))
         self.out -= 1.0
-        self.judge(attempt.link, event, job)
+        self.learn_from_outcome(attempt.link, event, request)
         if event.used is not None and self.now - customer.news_at > self.settings.meter_ms / 2:
-            self.metered_use(customer, event.used)
+            self.record_metered_usage(customer, event.used)
         if event.actual_units is not None and self.settings.cost_after:
-            customer.draw(event.actual_units - job.units, event.actual_units - job.units)
-        if job.ended or event.finished:
-            self.end(event)
-        elif not job.waiting and not self.again(job, cost):
-            self.finish(job)
-        self.release(customer)
-        self.tell_open(customer)
+            customer.draw(event.actual_units - request.units, event.actual_units - request.units)
+        if request.ended or event.finished:
+            self.end_request(event)
+        elif not request.waiting and not self.retry(request, cost):
+            self.answer_unserved(request)
+        self.admit_waiting(customer)
+        self.report_attempts(customer)
 
     def on_alarm(self, event: api.Alarm) -> None:
-        """Timers: the interval, the tick to peers, following the list, and hedges by request."""
-        job = self.jobs.get(event.token - FIRST_REQUEST_TOKEN)
+        """Handle a timer: the interval, messages to peers, the server list, waiting or overdue requests."""
+        request = self.jobs.get(event.token - FIRST_REQUEST_TOKEN)
         if event.token == 0:
             self.close_interval()
         elif event.token == 1:
-            self.actions.append(api.SetTimer(self.gossip_interval_ms * (0.5 + self.random.random()), 1))  # not in step
+            # A random period, so that gateways do not send in step.
+            self.actions.append(api.SetTimer(self.gossip_interval_ms * (0.5 + self.random.random()), 1))
             self.opened = self.outs | self.opened
-            self.told |= self.dawn.word(self.now - self.started)
-            if (self.told or self.opened) and self.now - self.told_at >= self.open_gap:
-                self.tell_peers()
+            self.told |= self.initial_fill.word(self.now - self.started)
+            if (self.told or self.opened) and self.now - self.told_at >= self.attempt_report_interval_ms:
+                self.broadcast()
         elif event.token == 3:
             self.tell_due = False
             if self.opened:
-                self.tell_peers()
+                self.broadcast()
         elif event.token == 4:
-            self.release(None)
+            self.admit_waiting(None)
         elif event.token == 2:
             self.actions.append(api.Subscribe())
-        elif job is not None and not job.ended and len(job.attempts) == 1 and self.stalled < self.now:
-            job.overdue, lateness = True, (self.now - job.attempts[0].sent) / job.kind.aim_ms
-            if job.attempts[0].link.cold_since is None:
-                self.waits = [*self.waits[1 - WAITS :], lateness]  # it takes at least so long
-            self.note_health(job.attempts[0].link, job, False)  # overdue; a copy would only add to the load
+        elif request is not None and not request.ended and len(request.attempts) == 1 and self.stalled < self.now:
+            # Overdue. No second copy is sent, since it would only add to the load.
+            request.overdue, lateness = True, (self.now - request.attempts[0].sent) / request.kind.aim_ms
+            if request.attempts[0].link.cold_since is None:
+                self.waits = [*self.waits[1 - LATENCY_SAMPLES :], lateness]  # its latency will be at least this
+            self.record_health(request.attempts[0].link, request, False)
--- a/petrelhall/decide/waiting.py
+++ b/petrelhall/decide/waiting.py
@@ -1,39 +1,43 @@
-"""Requests that wait a moment for a place under their customer's cap on attempts out. Pure: plain records.
+"""Requests that wait briefly for a free place under their customer's limit on concurrent attempts.
 
-A cap of two or three attempts is full now and free again within the time of one answer, which is a small part of
-what a client waits. Refused at once, a request comes back with its client's next try, if any is left, maybe through
-a gateway that knows less; held, it has the first place that comes free.
+A limit of two or three concurrent attempts is reached and free again within the time of one answer, which is a small
+part of what a client waits. A request that is refused at once only returns with its client's next try, if the client
+has one left, and maybe through a gateway that knows less; a request that waits here gets the first place that comes
+free. This module does no input or output: it works on plain records.
 """
 
 from __future__ import annotations
 
 from petrelhall.decide.state import Customer, Job
 
-MAX_WAIT_SHARE = (
-    0.35  # of the aim, and of the client's patience, for which a request may wait: late answers earn little
-)
-STEP_MS = 20.0  # between two looks, since news of peers also fades by itself
+# Share of the target latency, and of the client's remaining time, for which a request may wait: late answers earn
+# little.
+MAX_WAIT_SHARE = 0.35
+# Time between two checks of the waiting requests. They are needed because what peers have reported also expires with
+# time, without any event.
+RECHECK_INTERVAL_MS = 20.0
 
 
-class Held(dict[int, Job]):
-    """Those that wait, by request, in the order in which they came."""
+class WaitingRequests(dict[int, Job]):
+    """The waiting requests by request number, in the order in which they arrived."""
 
-    due = False  # whether a look is timed
+    recheck_scheduled = False  # whether a timer for the next check is set
 
-    def take(self, job: Job, now: float, expected_ms: float) -> bool:
-        """Keep a request, if it may still wait and those before it leave a place that comes in time."""
-        wait = MAX_WAIT_SHARE * min(job.kind.aim_ms, job.event.left_ms)
-        places = job.customer.plan.max_open * wait / max(1.0, expected_ms)
-        before = sum(other.customer is job.customer for other in self.values())
-        if now >= job.taken + wait or job.attempts or before >= places:
+    def try_add(self, request: Job, now: float, expected_ms: float) -> bool:
+        """Add a request if it may still wait and enough places will come free in time for it and those before it."""
+        max_wait_ms = MAX_WAIT_SHARE * min(request.kind.aim_ms, request.event.left_ms)
+        places = request.customer.plan.max_open * max_wait_ms / max(1.0, expected_ms)
+        before = sum(other.customer is request.customer for other in self.values())
+        if now >= request.taken + max_wait_ms or request.attempts or before >= places:
             return False
-        self[job.id] = job
+        self[request.id] = request
         return True
 
-    def leave(self, customer: Customer | None) -> list[Job]:
-        """Let go of those that wait for a customer's places, or of all, to be decided on anew."""
-        self.due = self.due and customer is not None  # all are let go when the look is due
-        jobs = [job for job in self.values() if customer is None or job.customer is customer]
-        for job in jobs:
-            del self[job.id]
-        return [job for job in jobs if not job.ended]
+    def pop_all(self, customer: Customer | None) -> list[Job]:
+        """Remove the waiting requests of one customer, or of all for None, and return those still unanswered."""
+        # A call for all customers is the scheduled check itself.
+        self.recheck_scheduled = self.recheck_scheduled and customer is not None
+        requests = [request for request in self.values() if customer is None or request.customer is customer]
+        for request in requests:
+            del self[request.id]
+        return [request for request in requests if not request.ended]
