--- a/petrelhall/gateway/membership.py
+++ b/petrelhall/gateway/membership.py
@@ -1,4 +1,4 @@
-"""Carries out membership on sockets: words in and out, turns by the clock, boxes left out, changes told in the log."""
+"""Runs the membership core on sockets: peer messages, timer ticks, excluded servers, and logged changes."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 from petrelhall.net.loop import Loop, now_ms
 from petrelhall.operator.settings import Membership as Settings
 
-POOL_MS = 250.0  # between two counts of witnesses against boxes
-BAD = {Ending.ERROR, Ending.RESET, Ending.TIMEOUT}
-GOOD = {Ending.OK}
-LINES_PER_S = 200  # of changes told in the log; more are counted
+SERVER_REPORT_INTERVAL_MS = 250.0  # between two counts of the gateways that report a server as bad
+BAD_ENDINGS = {Ending.ERROR, Ending.RESET, Ending.TIMEOUT}
+GOOD_ENDINGS = {Ending.OK}
+MAX_LOG_LINES_PER_S = 200  # changes beyond this are counted, not logged
 
 
 class Membership:
-    """One gateway's part in knowing the others; not there where the operators' file does not ask for it."""
+    """One gateway's part in the membership protocol; created only if the operators' file enables it."""
 
     def __init__(
         self,
@@ -38,44 +38,46 @@
         name: str,
         seed: int,
         fleet: Fleet,
-        tell: Callable[[api.ServerList], None],
-        ready: Callable[[], bool],
+        on_server_list: Callable[[api.ServerList], None],
+        is_ready: Callable[[], bool],
         counts: Counts,
         log: Callable[[str], None],
     ) -> None:
-        self.loop, self.peers, self.fleet, self.tell = loop, peers, fleet, tell
-        self.ready, self.counts, self.log = ready, counts, log
+        self.loop, self.peers, self.fleet, self.on_server_list = loop, peers, fleet, on_server_list
+        self.is_ready, self.counts, self.log = is_ready, counts, log
         now = now_ms()
-        paces = pace(platform.gateways, platform.peer_messages_per_s, settings.share, settings.late_ms)
-        # A start's life: later starts have later ones, as far as the machine's clock goes on between them.
-        self.core = Members(platform.position, math.floor(now / 100.0), paces, seed, now)
-        self.core.quiet = True  # until this process takes clients: the one before speaks while it does
+        timing = pace(platform.gateways, platform.peer_messages_per_s, settings.share, settings.late_ms)
+        # The incarnation is the start time in tenths of a second: it grows with each start, provided that the
+        # machine's clock keeps running between them.
+        self.core = Members(platform.position, math.floor(now / 100.0), timing, seed, now)
+        self.core.quiet = True  # until this process takes clients: before that, the one it replaces sends
         self.ended = False
         self.names = {number: f"{host}:{port}" for number, (host, port) in enumerate(peers.peers)}
         self.names[platform.position] = name
-        self.boxes = Boxes(settings.boxes_out) if settings.boxes_out else None
-        self.pooled = now
-        self.lines, self.second = 0, 0
+        self.servers = Boxes(settings.boxes_out) if settings.boxes_out else None
+        self.servers_checked_ms = now
+        self.log_lines = 0
+        self.log_second = 0
         peers.on_word[KIND] = lambda number, content: self.handle(Heard(number, content))
         peers.on_sign = lambda number: self.handle(Sign(number))
-        loop.after(LOOK_MS, self.look)
-        self.say({"number": self.core.number, "state": "here", "life": self.core.life, "why": "started"})
+        loop.after(LOOK_MS, self.tick)
+        self.log_change({"number": self.core.number, "state": "here", "life": self.core.life, "why": "started"})
 
-    def look(self) -> None:
-        """Take a turn by the clock."""
+    def tick(self) -> None:
+        """Advance the core and, at its own interval, the exclusion of servers."""
         if self.ended:
             return
-        self.loop.after(LOOK_MS, self.look)
-        if self.core.quiet and self.ready():
+        self.loop.after(LOOK_MS, self.tick)
+        if self.core.quiet and self.is_ready():
             self.core.quiet = False
         self.handle(Tick())
         now = now_ms()
-        if self.boxes is not None and now - self.pooled >= POOL_MS:
-            self.pooled = now
-            self.pool(now, self.boxes)
+        if self.servers is not None and now - self.servers_checked_ms >= SERVER_REPORT_INTERVAL_MS:
+            self.servers_checked_ms = now
+            self.update_excluded_servers(now, self.servers)
 
     def handle(self, event: Event) -> None:
-        """Give the core an event and do as it says."""
+        """Pass an event to the core and carry out the resulting actions."""
         for action in self.core.handle(now_ms(), event):
             if isinstance(action, Send):
                 self.peers.send(action.content, () if action.to is None else (action.to,))
@@ -84,58 +86,63 @@
                 self.counts.add("members", f"dropped_{action.why}")
             else:
                 self.counts.add("members", action.state)
-                self.say(self.told(action))
+                self.log_change(self.change_fields(action))
 
-    def told(self, change: Changed) -> dict[str, Any]:
-        """Word a change."""
+    def change_fields(self, change: Changed) -> dict[str, Any]:
+        """Return the logged fields of a member's change."""
         return {"number": change.number, "state": change.state, "life": change.life, "why": change.why}
 
-    def say(self, line: dict[str, Any]) -> None:
-        """Write a change as a line of JSON, so many a second at most."""
+    def log_change(self, fields: dict[str, Any]) -> None:
+        """Log a change as a line of JSON, within the rate limit."""
         now = now_ms()
-        if int(now / 1000.0) != self.second:
-            self.second, self.lines = int(now / 1000.0), 0
-        self.lines += 1
-        if self.lines > LINES_PER_S:
+        if int(now / 1000.0) != self.log_second:
+            self.log_second, self.log_lines = int(now / 1000.0), 0
+        self.log_lines += 1
+        if self.log_lines > MAX_LOG_LINES_PER_S:
             return self.counts.add("members", "lines_dropped")
-        told = ujson.dumps({"at_ms": round(now), "self": self.core.life, **line}, escape_forward_slashes=False)
-        self.log(f"member {told}")
+        text = ujson.dumps({"at_ms": round(now), "self": self.core.life, **fields}, escape_forward_slashes=False)
+        self.log(f"member {text}")
 
     def reachable(self, number: int) -> bool:
-        """Tell whether it makes sense to ask a member anything: one that is heard both ways, or nobody is yet."""
+        """Return whether it makes sense to ask a member anything: messages between the two arrive in both directions.
+
+        While this is so for no other member yet, every member counts as reachable.
+        """
         return number in self.core.side or len(self.core.side) == 1
 
     def leave(self) -> None:
-        """Tell the others that this process ends."""
+        """Announce to the other members that this process is shutting down."""
         if not self.core.quiet:
             self.handle(Leave())
 
     def hand_over(self) -> None:
-        """A newer process of this member speaks from now on."""
+        """Stop sending: a newer process of this member sends from now on."""
         self.handle(Quiet())
         self.ended = True
 
     def view(self) -> dict[str, Any]:
-        """Give what this gateway knows, for ``GET /control/members``."""
-        out = sorted(self.boxes.out) if self.boxes is not None else []
-        return {**self.core.view(now_ms(), self.names), "boxes_left_out": out}
-
-    # Boxes
-
-    def saw(self, box: str, ending: Ending) -> None:
-        """Take note of how an attempt at a box ended."""
-        if self.boxes is not None and (ending in BAD or ending in GOOD):
-            self.boxes.saw(now_ms(), box, ending in BAD)
-
-    def pool(self, now: float, boxes: Boxes) -> None:
-        """Say what this gateway finds bad, count the witnesses, and leave out what enough of them accuse."""
-        own = boxes.found(now)
-        self.core.accuse(own)
-        before = boxes.out
-        out = boxes.pool(now, self.fleet.healthy | before, self.core.accusers(now), own, self.core.pace.observers)
-        if out != before:
-            self.fleet.left_out = out
-            for box in sorted(out ^ before):
-                self.counts.add("members", "boxes_left_out" if box in out else "boxes_back")
-                self.say({"box": box, "state": "left out" if box in out else "back"})
-            self.tell(self.fleet.relabel())
+        """Return this gateway's view of the members, for ``GET /control/members``."""
+        excluded = sorted(self.servers.out) if self.servers is not None else []
+        return {**self.core.view(now_ms(), self.names), "boxes_left_out": excluded}
+
+    # Servers
+
+    def record_attempt(self, server: str, ending: Ending) -> None:
+        """Record how an attempt at a server ended, where that is evidence for or against the server."""
+        if self.servers is not None and (ending in BAD_ENDINGS or ending in GOOD_ENDINGS):
+            self.servers.saw(now_ms(), server, ending in BAD_ENDINGS)
+
+    def update_excluded_servers(self, now: float, servers: Boxes) -> None:
+        """Report the servers that this gateway finds bad, and exclude those that enough gateways report."""
+        own_reports = servers.found(now)
+        self.core.accuse(own_reports)
+        before = servers.out
+        excluded = servers.pool(
+            now, self.fleet.healthy | before, self.core.accusers(now), own_reports, self.core.pace.observers
+        )
+        if excluded != before:
+            self.fleet.left_out = excluded
+            for server in sorted(excluded ^ before):
+                self.counts.add("members", "boxes_left_out" if server in excluded else "boxes_back")
+                self.log_change({"box": server, "state": "left out" if server in excluded else "back"})
+            self.on_server_list(self.fleet.relabel())
--- a/petrelhall/gateway/mgmt.py
+++ b/petrelhall/gateway/mgmt.py
@@ -1,7 +1,7 @@
-"""Where operators call: one call a connection, each answered at once, on a few descriptors of its own.
+"""The management listener: serves operators' calls, one per connection, on a small descriptor budget of its own.
 
-The calls are read by ``control.calls`` and the servers taken out are kept by ``control.bans``; here they meet
-sockets and the file under ``$TMPDIR`` that a second process of this gateway reads during an upgrade.
+``control.calls`` parses the calls and ``control.bans`` holds the servers that operators excluded. This module connects
+them to sockets and to a file under ``$TMPDIR``, which a second process of this gateway reads during an upgrade.
 """
 
 from __future__ import annotations
@@ -25,13 +25,13 @@
 from petrelhall.net.loop import Loop, Steps, now_ms
 from petrelhall.net.stream import NO_DESCRIPTOR, Address, Stream, bound
 
-MAX_MANAGEMENT_CONNECTIONS = 16  # connections at once; past that the one waiting longest for its call is let go
-WHOLE_MS = 1500.0  # in which a call must have come whole: some callers send nothing or half and stay for 4 s
-SEND_MS = 1000.0  # in which an answer must have gone out
-LINGER_MS = 400.0  # in which an answered caller may close: a close over what it still sends could eat its answer
-PAUSE_MS = 20.0  # in which no caller is taken where there is no descriptor
-LOOK_MS = 250.0  # between two looks at the file, for what the other process of an upgrade was told
-REASONS = {
+MAX_MANAGEMENT_CONNECTIONS = 16  # beyond it the connection that has waited longest for its call is closed
+RECEIVE_TIMEOUT_MS = 1500.0  # for a complete call: some callers send nothing or half of one and stay for 4 s
+SEND_TIMEOUT_MS = 1000.0  # for sending the response
+LINGER_MS = 400.0  # wait for the caller to close: closing over unread input resets, which can lose the response
+ACCEPT_RETRY_MS = 20.0  # pause in accepting while no descriptor is free
+FILE_POLL_MS = 250.0  # interval of checks of the file, for calls that the other process of an upgrade received
+RESPONSE_BODIES = {
     200: b"yes\n",
     400: b"bad call\n",
     404: b"no such server\n",
@@ -41,174 +41,175 @@
 }
 
 
-class Caller:
+class ManagementConnection:
     """One operator's connection."""
 
-    __slots__ = ("stream", "http", "until", "answered")
+    __slots__ = ("stream", "http", "deadline_ms", "answered")
 
     def __init__(self, stream: Stream) -> None:
         self.stream, self.http = stream, ServerSide(stream)
-        self.until, self.answered = now_ms() + WHOLE_MS, False
+        self.deadline_ms, self.answered = now_ms() + RECEIVE_TIMEOUT_MS, False
 
 
 class Management:
-    """The management listener and the servers that operators have taken out."""
+    """The management listener and the servers that operators have excluded."""
 
     def __init__(
         self,
         loop: Loop,
         address: Address,
         fleet: Fleet,
-        ready: Callable[[], bool],
-        tell: Callable[[api.ServerList], None],
+        is_ready: Callable[[], bool],
+        on_server_list: Callable[[api.ServerList], None],
         counts: Counts,
         log: Callable[[str], None],
         gateway: str,
     ) -> None:
-        self.loop, self.fleet, self.ready, self.tell, self.counts, self.log = loop, fleet, ready, tell, counts, log
-        self.connections: list[Caller] = []  # oldest first
-        self.views: dict[str, Callable[[], Any]] = {}  # of the parts that are on, by name
+        self.loop, self.fleet, self.is_ready, self.on_server_list = loop, fleet, is_ready, on_server_list
+        self.counts, self.log = counts, log
+        self.connections: list[ManagementConnection] = []  # oldest first
+        self.views: dict[str, Callable[[], Any]] = {}  # read-only views of the enabled subsystems, by name
         self.policy: Callable[[Policy, bytes], tuple[int, dict[str, Any]]] | None = None
         fleet.bans.gateway = gateway
         self.path = os.path.join(tempfile.gettempdir(), f"petrelhall-{gateway}-servers-out.json")
-        self.seen: tuple[int, int, int] | None = None  # the file as last read or written: inode, size, mtime
-        self.look(tell=False)
-        loop.after(LOOK_MS, self.watch)
+        self.file_state: tuple[int, int, int] | None = None  # inode, size and mtime when last read or written
+        self.load_exclusions(notify=False)
+        loop.after(FILE_POLL_MS, self.poll_file)
         self.listener = bound(address)
         self.listener.listen(MAX_MANAGEMENT_CONNECTIONS)
-        self.listen()
+        self.register_listener()
 
-    def listen(self) -> None:
-        """Watch the listener, unless it was closed meanwhile."""
+    def register_listener(self) -> None:
+        """Watch the listener for connections, unless it was closed meanwhile."""
         if self.listener.fileno() >= 0:
-            self.loop.register(self.listener.fileno(), select.EPOLLIN, self.on_ready)
+            self.loop.register(self.listener.fileno(), select.EPOLLIN, self.on_acceptable)
 
     def close(self) -> None:
-        """Listen no more; callers in hand are still answered."""
+        """Stop listening; calls on accepted connections are still answered."""
         self.loop.unregister(self.listener.fileno())
         self.listener.close()
 
     # Connections
 
-    def on_ready(self, mask: int) -> None:
-        """Take a caller; where all places are held, the one that has waited longest for its call goes."""
+    def on_acceptable(self, mask: int) -> None:
+        """Accept a connection; at the limit, close the one that has waited longest for its call."""
         try:
             sock, _ = self.listener.accept()
         except OSError as error:
-            if error.errno in NO_DESCRIPTOR:  # the kernel holds it: told of it without end, the loop would spin
+            if error.errno in NO_DESCRIPTOR:  # the connection stays in the backlog; polling it would busy-loop
                 self.loop.unregister(self.listener.fileno())
-                self.loop.after(PAUSE_MS, self.listen)
-            return  # else it has gone already
-        leaving = [caller for caller in self.connections if caller.answered and not caller.stream.outgoing]
-        waiting = leaving or [caller for caller in self.connections if not caller.answered]
-        if len(self.connections) >= MAX_MANAGEMENT_CONNECTIONS and waiting:
+                self.loop.after(ACCEPT_RETRY_MS, self.register_listener)
+            return  # otherwise the peer has already gone
+        lingering = [conn for conn in self.connections if conn.answered and not conn.stream.outgoing]
+        closable = lingering or [conn for conn in self.connections if not conn.answered]
+        if len(self.connections) >= MAX_MANAGEMENT_CONNECTIONS and closable:
             self.counts.add("control", "shed")
-            waiting[0].until = 0.0
-            waiting[0].stream.notify()
+            closable[0].deadline_ms = 0.0
+            closable[0].stream.notify()
         elif len(self.connections) >= MAX_MANAGEMENT_CONNECTIONS:
             sock.close()
             return
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        caller = Caller(Stream(self.loop, sock, lambda: None))
-        self.connections.append(caller)
-        task = self.loop.spawn(self.converse(caller))
-        caller.stream.notify = task.wake
-        self.loop.at(caller.until, task.wake)
-
-    def converse(self, caller: Caller) -> Steps[None]:
-        """Read one call, answer it and close."""
+        connection = ManagementConnection(Stream(self.loop, sock, lambda: None))
+        self.connections.append(connection)
+        task = self.loop.spawn(self.serve_connection(connection))
+        connection.stream.notify = task.wake
+        self.loop.at(connection.deadline_ms, task.wake)
+
+    def serve_connection(self, connection: ManagementConnection) -> Steps[None]:
+        """Read one call, answer it and close the connection."""
         try:
-            asked = caller.http.request()
-            while asked is None and not caller.stream.ended and now_ms() < caller.until:
+            request = connection.http.request()
+            while request is None and not connection.stream.ended and now_ms() < connection.deadline_ms:
                 yield
-                asked = caller.http.request()
-            if asked is None:
-                if caller.stream.ended or not caller.http.begun:
+                request = connection.http.request()
+            if request is None:
+                if connection.stream.ended or not connection.http.begun:
                     self.counts.add("control", "silent")
                     return
-                asked = Broken(408, "call did not come whole")
-            call = asked if isinstance(asked, Broken) else read_call(asked.method, asked.target)
-            told: Any = None
+                request = Broken(408, "call did not come whole")
+            call = request if isinstance(request, Broken) else read_call(request.method, request.target)
+            result: Any = None
             if isinstance(call, Call) and call.policy is not None and self.policy is not None:
-                assert not isinstance(asked, Broken)
-                status, told = self.policy(call.policy, bytes(asked.body))
+                assert not isinstance(request, Broken)
+                status, result = self.policy(call.policy, bytes(request.body))
             else:
-                status = self.answer(call)
+                status = self.execute(call)
             self.counts.add("control", f"answered_{status}")
-            caller.answered = True
-            content = REASONS.get(status, b"no\n")
+            connection.answered = True
+            content = RESPONSE_BODIES.get(status, b"no\n")
             if status == 200 and isinstance(call, Call) and call.view:
-                told = self.views[call.view]()
-            if told is not None:
-                content = ujson.dumps(told).encode()
-            caller.http.answer(status, [], content, True)
-            until = now_ms() + SEND_MS
-            self.loop.at(until, self.loop.this_task().wake)
-            while caller.stream.outgoing and not caller.stream.ended and now_ms() < until:
+                result = self.views[call.view]()
+            if result is not None:
+                content = ujson.dumps(result).encode()
+            connection.http.answer(status, [], content, True)
+            send_deadline_ms = now_ms() + SEND_TIMEOUT_MS
+            self.loop.at(send_deadline_ms, self.loop.this_task().wake)
+            while connection.stream.outgoing and not connection.stream.ended and now_ms() < send_deadline_ms:
                 yield
-            caller.stream.finish_sending()
-            caller.stream.discard()
-            caller.until = now_ms() + LINGER_MS  # sooner, where another wants the place
-            self.loop.at(caller.until, self.loop.this_task().wake)
-            while not caller.stream.ended and now_ms() < caller.until:
+            connection.stream.finish_sending()
+            connection.stream.discard()
+            connection.deadline_ms = now_ms() + LINGER_MS  # ends sooner if a new connection needs the slot
+            self.loop.at(connection.deadline_ms, self.loop.this_task().wake)
+            while not connection.stream.ended and now_ms() < connection.deadline_ms:
                 yield
         finally:
-            caller.stream.close()
-            self.connections.remove(caller)
+            connection.stream.close()
+            self.connections.remove(connection)
 
-    def answer(self, call: Call | Wrong | Broken) -> int:
-        """Carry out a call and give its status: 2xx for yes, 4xx or 5xx for no."""
+    def execute(self, call: Call | Wrong | Broken) -> int:
+        """Carry out a call and return its HTTP status: 2xx on success, else 4xx or 5xx."""
         if not isinstance(call, Call):
             return call.status
         if call.ready:
-            return 200 if self.ready() else 503
+            return 200 if self.is_ready() else 503
         if call.policy is not None:
             return 404
         if call.view:
             return 200 if call.view in self.views else 404
         if call.server not in self.fleet.ever and call.server not in self.fleet.bans.marks:
             return 404
-        self.look()  # the other process may have heard a later word
+        self.load_exclusions()  # the other process of an upgrade may have received a later call
         if self.fleet.bans.say(call.server, call.out, now_ms()):
-            self.log(f"server {call.server} {'taken out' if call.out else 'put back'} by the operators")
-            self.keep()
-            self.tell(self.fleet.relabel())
+            self.log(f"server {call.server} {'taken offline' if call.out else 'put back online'} by an operator")
+            self.save_exclusions()
+            self.on_server_list(self.fleet.relabel())
         return 200
 
-    # The file
+    # The file of excluded servers
 
-    def look(self, tell: bool = True) -> None:
-        """Take what the file says where it changed since it was last read or written here."""
+    def load_exclusions(self, notify: bool = True) -> None:
+        """Merge the file's content if it changed since this process last read or wrote it."""
         try:
-            state = os.stat(self.path)
-            seen = state.st_ino, state.st_size, state.st_mtime_ns
-            if seen == self.seen:  # as it was: no need to read it
+            stat = os.stat(self.path)
+            file_state = stat.st_ino, stat.st_size, stat.st_mtime_ns
+            if file_state == self.file_state:  # unchanged
                 return
             with open(self.path, "rb") as file:
                 data = file.read()
         except FileNotFoundError:
             return
         except OSError as error:
-            return self.log(f"servers taken out: cannot read {self.path}: {os.strerror(error.errno or 0)}")
-        self.seen = seen
+            return self.log(f"excluded servers: cannot read {self.path}: {os.strerror(error.errno or 0)}")
+        self.file_state = file_state
         try:
-            marks = decode(data, self.fleet.bans.gateway)
+            exclusions = decode(data, self.fleet.bans.gateway)
         except BansError as error:
-            return self.log(f"servers taken out: {self.path} ignored: {error}")
-        if self.fleet.bans.merge(marks) and tell:
-            self.tell(self.fleet.relabel())
+            return self.log(f"excluded servers: {self.path} ignored: {error}")
+        if self.fleet.bans.merge(exclusions) and notify:
+            self.on_server_list(self.fleet.relabel())
 
-    def watch(self) -> None:
-        """Look at the file now and then."""
-        self.loop.after(LOOK_MS, self.watch)
-        self.look()
+    def poll_file(self) -> None:
+        """Check the file for changes at a fixed interval."""
+        self.loop.after(FILE_POLL_MS, self.poll_file)
+        self.load_exclusions()
 
-    def keep(self) -> None:
-        """Write the file whole and then put it in place: a reader never finds half of it."""
+    def save_exclusions(self) -> None:
+        """Write the file atomically, so that a reader never sees part of it."""
         try:
             write_whole(self.path, self.fleet.bans.encode())
-            state = os.stat(self.path)
-            self.seen = state.st_ino, state.st_size, state.st_mtime_ns
-        except OSError as error:  # it still holds in this process
-            self.log(f"servers taken out: cannot write {self.path}: {os.strerror(error.errno or 0)}")
+            stat = os.stat(self.path)
+            self.file_state = stat.st_ino, stat.st_size, stat.st_mtime_ns
+        except OSError as error:  # the exclusion still applies in this process
+            self.log(f"excluded servers: cannot write {self.path}: {os.strerror(error.errno or 0)}")
--- a/petrelhall/gateway/program.py
+++ b/petrelhall/gateway/program.py
@@ -1,4 +1,4 @@
-"""The gateway program: reads its configuration, puts the parts together, and minds signals."""
+"""The gateway program: reads the configuration, wires the components together and handles signals."""
 
 from __future__ import annotations
 
@@ -46,35 +46,43 @@
     from petrelhall.gateway.sharing import Sharing
     from petrelhall.gateway.shifting import TrafficShifter
 
-RESERVED_DESCRIPTORS = 40  # descriptors for all but clients and servers, with some to spare
-LAST_MS = 2000.0  # after the last request's deadline, to end whatever would not end by itself
-GC_THRESHOLD_OBJECTS = 20000  # objects made and not freed between two looks for cycles
-CLIENT_SHARE = 0.6  # of the other descriptors
+RESERVED_DESCRIPTORS = 40  # for everything but client and server connections, with some spare
+SHUTDOWN_MARGIN_MS = 2000.0  # after the last request's deadline, before the loop is stopped in any case
+GC_THRESHOLD_OBJECTS = 20000  # net container allocations between two runs of the cycle collector
+CLIENT_SHARE = 0.6  # of the descriptors that are not reserved; server connections get the rest
 
 
 class Program:
-    """One gateway, from its configuration to its exit."""
+    """One gateway process, from its configuration to its exit."""
 
-    def __init__(self, config: Config, log: Log, operator: File, operator_path: str = "") -> None:
-        self.config, self.log, self.operator, self.operator_path = config, log, operator, operator_path
+    def __init__(self, config: Config, log: Log, operator_settings: File, operator_path: str = "") -> None:
+        self.config, self.log = config, log
+        self.operator_settings, self.operator_path = operator_settings, operator_path
         self.loop, self.counts, self.fleet = Loop(log), Counts(), Fleet(config.areas)
         self.stopping = self.serving = False
         self.counter: CounterClient | None = None
-        self.mind_signals()  # before anyone can connect: unminded, any of them ends the program at once
+        self.install_signal_handlers()  # before anyone can connect: an unhandled signal would kill the process
         settings = config.settings
         self.handover = Handover(config.name, log.write)
         self.handover.alone(config.listen)
-        self.module = Gateway(self.module_settings(), config.seed)
+        self.module = Gateway(self.decision_settings(), config.seed)
         self.dispatcher = Dispatcher(self.loop, self.module, self.counts, log)
         platform = self.platform = Platform(settings, config.classes, config.plans)
-        own = RESERVED_DESCRIPTORS + (MAX_MANAGEMENT_CONNECTIONS if config.mgmt else 0)
-        room = max(20, min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0]) - own)
-        clients = int(CLIENT_SHARE * room)
-        plan = Plan(
-            operator.links, room - clients, config.conn_idle_ms, settings.cold_ms, settings.gateways, config.seed
+        reserved = RESERVED_DESCRIPTORS + (MAX_MANAGEMENT_CONNECTIONS if config.mgmt else 0)
+        descriptors = max(20, min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0]) - reserved)
+        client_descriptors = int(CLIENT_SHARE * descriptors)
+        connection_plan = Plan(
+            operator_settings.links,
+            descriptors - client_descriptors,
+            config.conn_idle_ms,
+            settings.cold_ms,
+            settings.gateways,
+            config.seed,
+        )
+        body_budget = Room(config.memory_mb)
+        self.pool = Pool(
+            self.loop, self.fleet, platform, self.counts, connection_plan, config.connect_timeout_ms, body_budget
         )
-        body_room = Room(config.memory_mb)
-        self.pool = Pool(self.loop, self.fleet, platform, self.counts, plan, config.connect_timeout_ms, body_room)
         desk = Desk(self.loop, self.dispatcher.tell, self.pool, self.counts, settings.max_retry_after_ms)
         self.dispatcher.to_request = desk.give
         self.desk = desk
@@ -83,15 +91,25 @@
         self.membership: Membership | None = None
         self.sharing: Sharing | None = None
         self.agreement: Agreement | Learning | None = None
-        wrong = self.unfit(operator.shared)
-        if wrong:
-            raise OperatorError(f"{operator_path}: shared.{wrong}")
-        self.join_others()
+        problem = self.policy_problem(operator_settings.shared)
+        if problem:
+            raise OperatorError(f"{operator_path}: shared.{problem}")
+        self.start_tier_services()
         self.dispatcher.tell(api.Started())
-        self.apply(operator.shared, None)
-        self.start_list()
-        self.take_over()
-        self.front = Front(self.loop, config.listen, platform, desk, self.healthy, self.counts, log, clients, body_room)
+        self.apply_policy(operator_settings.shared, None)
+        self.start_discovery()
+        self.restore_snapshot()
+        self.front = Front(
+            self.loop,
+            config.listen,
+            platform,
+            desk,
+            self.is_healthy,
+            self.counts,
+            log,
+            client_descriptors,
+            body_budget,
+        )
         self.front.on_empty = self.loop.stop
         self.serving = True
         self.mgmt: Management | None = None
@@ -100,26 +118,26 @@
                 self.loop,
                 config.mgmt,
                 self.fleet,
-                self.say_ready,
+                self.report_ready,
                 self.dispatcher.tell,
                 self.counts,
                 log.write,
                 config.name,
             )
-            self.dispatcher.tell(self.fleet.relabel())  # servers that the operators took out before this start
+            self.dispatcher.tell(self.fleet.relabel())  # apply exclusions made before this process started
             if self.membership is not None:
                 self.mgmt.views["members"] = self.membership.view
             if self.sharing is not None:
                 self.mgmt.views["quota"] = self.sharing.view
-            self.show_policy(self.mgmt)
-        look_ms = LOOK_MS if config.mgmt is not None else CALM_LOOK_MS
-        self.handover.watch(self.loop, look_ms, self.ready, self.hand_over, self.snapshot)
+            self.add_policy_calls(self.mgmt)
+        handover_poll_ms = LOOK_MS if config.mgmt is not None else CALM_LOOK_MS
+        self.handover.watch(self.loop, handover_poll_ms, self.is_ready, self.hand_over, self.take_snapshot)
 
-    def show_policy(self, mgmt: Management) -> None:
-        """Let operators see, and by accord change, the policy that all gateways share."""
+    def add_policy_calls(self, mgmt: Management) -> None:
+        """Register the management calls that show the shared policy and, with consensus on, change it."""
         if self.agreement is None:
             return
-        if self.operator.distribution.on:
+        if self.operator_settings.distribution.on:
             mgmt.views["configuration"] = self.agreement.view
             return
         from petrelhall.gateway.agreement import Agreement
@@ -127,26 +145,27 @@
         if isinstance(self.agreement, Agreement):
             mgmt.views["policy"], mgmt.policy = self.agreement.view, self.agreement.call
 
-    def ready(self) -> bool:
-        """Tell whether this process takes clients: it listens, is not ending, and knows servers to send to."""
+    def is_ready(self) -> bool:
+        """Return whether this process takes clients: it listens, is not shutting down and has servers listed."""
         return not self.stopping and self.serving and not self.front.closing and bool(self.fleet.addresses)
 
-    def healthy(self) -> bool:
-        """Tell the clients' front whether to send here: not before it is known once what is in force.
+    def is_healthy(self) -> bool:
+        """Return the result of the clients' health check: false until the policy in force has been learnt once.
 
-        A second process beside one that serves never says no: it answers at the same address.
+        During an upgrade the new process does not wait for the policy: the process that it replaces answers health
+        checks at the same address and is serving.
         """
-        known = self.agreement is None or self.agreement.begun or self.handover.joined
-        return bool(self.fleet.addresses) and known
+        policy_known = self.agreement is None or self.agreement.begun or self.handover.joined
+        return bool(self.fleet.addresses) and policy_known
 
-    def say_ready(self) -> bool:
-        """Tell operators whether this process takes clients; the process that it replaces hears of it first."""
-        if self.ready():
+    def report_ready(self) -> bool:
+        """Answer the operators' readiness call; the process being replaced is notified before the answer is sent."""
+        if self.is_ready():
             self.handover.look_now()
-        return self.ready()
+        return self.is_ready()
 
-    def knows_others(self) -> bool:
-        """Tell whether the platform lets all gateways speak with each other."""
+    def has_peer_network(self) -> bool:
+        """Return whether the configuration lets all gateways exchange messages with each other."""
         config = self.config
         return bool(
             config.settings.peers
@@ -157,20 +176,23 @@
             and len(config.peers) == config.settings.gateways
         )
 
-    def module_settings(self) -> api.Settings:
-        """Give the settings as the module gets them: messages that other parts take are not the module's."""
-        settings, operator = self.config.settings, self.operator
-        if operator.quota.on and not settings.cost_after:  # what is owned decides: asking for verdicts would cost calls
+    def decision_settings(self) -> api.Settings:
+        """Return the decision module's settings: its peer message rate excludes the shares of other subsystems."""
+        settings, operator_settings = self.config.settings, self.operator_settings
+        if operator_settings.quota.on and not settings.cost_after:  # owned quota decides; counter calls would be wasted
             settings = dataclasses.replace(settings, counter=False)
-        parts = (operator.members, operator.accord) if self.knows_others() else ()
-        taken = sum(part.share for part in parts if part.on) + operator.quota.share * operator.quota.on
-        if not taken or not settings.peers:
+        subsystems = (operator_settings.members, operator_settings.accord) if self.has_peer_network() else ()
+        reserved_share = (
+            sum(subsystem.share for subsystem in subsystems if subsystem.on)
+            + operator_settings.quota.share * operator_settings.quota.on
+        )
+        if not reserved_share or not settings.peers:
             return settings
-        return dataclasses.replace(settings, peer_messages_per_s=settings.peer_messages_per_s * (1.0 - taken))
+        return dataclasses.replace(settings, peer_messages_per_s=settings.peer_messages_per_s * (1.0 - reserved_share))
 
-    def join_others(self) -> None:
-        """Open the ways to the other gateways that the configuration names."""
-        config, tell = self.config, self.dispatcher.tell
+    def start_tier_services(self) -> None:
+        """Start the subsystems that talk to other gateways, to distributors or to the counter, as configured."""
+        config, on_event = self.config, self.dispatcher.tell
         if config.settings.peers and config.peer_listen and config.peers_all:
             self.peers = Peers(
                 self.loop,
@@ -178,56 +200,56 @@
                 config.peers,
                 config.peers_all,
                 config.settings.position,
-                tell,
+                on_event,
                 self.counts,
             )
             self.dispatcher.to_peers = self.peers.send
-            if self.operator.members.on and self.knows_others():
+            if self.operator_settings.members.on and self.has_peer_network():
                 from petrelhall.gateway.membership import Membership
 
                 self.membership = Membership(
                     self.loop,
                     self.peers,
-                    self.operator.members,
+                    self.operator_settings.members,
                     config.settings,
                     config.name,
                     config.seed,
                     self.fleet,
-                    tell,
-                    self.ready,
+                    on_event,
+                    self.is_ready,
                     self.counts,
                     self.log.write,
                 )
-                self.desk.witness = self.membership.saw
-            if self.operator.accord.on and self.knows_others():
+                self.desk.witness = self.membership.record_attempt
+            if self.operator_settings.accord.on and self.has_peer_network():
                 from petrelhall.gateway.agreement import Agreement
 
                 self.agreement = Agreement(
                     self.loop,
                     self.peers,
-                    self.operator.accord,
+                    self.operator_settings.accord,
                     config.settings,
                     config.name,
                     config.seed,
-                    self.operator.shared,
-                    self.unfit,
-                    self.apply,
+                    self.operator_settings.shared,
+                    self.policy_problem,
+                    self.apply_policy,
                     self.counts,
                     self.log.write,
                 )
                 self.desk.agreed = self.agreement
-        if self.operator.distribution.on:
-            self.learn()
-        if self.operator.quota.on:
+        if self.operator_settings.distribution.on:
+            self.start_configuration_learner()
+        if self.operator_settings.quota.on:
             from petrelhall.gateway.sharing import Sharing
 
             self.sharing = Sharing(
                 self.loop,
                 self.peers,
-                self.operator.quota,
+                self.operator_settings.quota,
                 config.settings,
                 config.seed,
-                self.ready,
+                self.is_ready,
                 self.counts,
                 config.counter if config.settings.counter else None,
             )
@@ -235,48 +257,48 @@
             if self.membership is not None:
                 self.sharing.ledger.reachable = self.membership.reachable
         if config.settings.counter and config.counter:
-            self.counter = self.counter_at(config.counter)
+            self.counter = self.open_counter(config.counter)
 
-    def learn(self) -> None:
-        """Have the shared part brought by distributors."""
+    def start_configuration_learner(self) -> None:
+        """Receive the shared policy from the distributors."""
         from petrelhall.gateway.learning import Learning
 
         config = self.config
         self.agreement = Learning(
             self.loop,
-            self.operator.distribution,
+            self.operator_settings.distribution,
             config.settings,
-            self.operator.shared,
-            self.unfit,
-            self.apply,
+            self.operator_settings.shared,
+            self.policy_problem,
+            self.apply_policy,
             self.counts,
             self.log.write,
         )
         self.desk.agreed = self.agreement
 
-    def unfit(self, shared: Shared) -> str:
-        """Say why a shared part cannot be served here; empty where it can."""
+    def policy_problem(self, shared: Shared) -> str:
+        """Return why this gateway cannot serve a shared policy; empty if it can."""
         config = self.config
-        return refused(shared, self.operator, config.settings, config.plans, config.classes)
+        return refused(shared, self.operator_settings, config.settings, config.plans, config.classes)
 
-    def apply(self, shared: Shared, before: Shared | None) -> None:
-        """Serve by the shared part of the policy from now on, or by the stricter of two."""
+    def apply_policy(self, shared: Shared, previous: Shared | None) -> None:
+        """Put a shared policy in force; with a previous one given, the stricter limits of the two apply."""
         config, module = self.config, self.module
         plans = plans_of(shared, config.settings, config.plans)
         deadlines = deadlines_of(shared, config.settings, config.classes)
-        if before is not None:
-            plans = strictest(plans, plans_of(before, config.settings, config.plans))
-            deadlines = tuple(map(min, deadlines, deadlines_of(before, config.settings, config.classes)))
+        if previous is not None:
+            plans = strictest(plans, plans_of(previous, config.settings, config.plans))
+            deadlines = tuple(map(min, deadlines, deadlines_of(previous, config.settings, config.classes)))
         if plans != module.settings.plans:
             replan(module, module.settings.plans, plans, now_ms())
             module.settings = dataclasses.replace(module.settings, plans=plans)
         self.platform.deadlines = deadlines
-        self.served = shared, before
-        self.shift()
+        self.policy_in_force = shared, previous
+        self.configure_shifter()
 
-    def shift(self) -> None:
-        """Take the operators' pools and move; what that needs is loaded only where they have set some."""
-        settings = shift_of(*self.served, self.operator)
+    def configure_shifter(self) -> None:
+        """Apply the operators' pools and move; the shifting module is imported only if they have set any."""
+        settings = shift_of(*self.policy_in_force, self.operator_settings)
         if self.shifter is None:
             if settings is None:
                 return
@@ -297,86 +319,92 @@
         self.shifter.configure(settings)
         self.desk.sides = self.shifter if settings is not None else None
 
-    def counter_at(self, address: Address) -> CounterClient:
-        """Have calls to the counter go to an address."""
+    def open_counter(self, address: Address) -> CounterClient:
+        """Direct counter calls to an address."""
         wait_ms = self.config.settings.counter_wait_ms
         client = CounterClient(self.loop, address, wait_ms, self.dispatcher.tell, self.counts)
         self.dispatcher.to_counter = client.add
         return client
 
-    def start_list(self) -> None:
-        """Begin with the list that this gateway last had, then follow discovery."""
+    def start_discovery(self) -> None:
+        """Start from the last known server list, if the configuration has one, then follow discovery."""
         try:
             if self.config.known is not None:
                 self.dispatcher.tell(self.fleet.take(self.config.known, "cached"))
         except (ValueError, TypeError) as error:
             raise ConfigError(f"config.known: {error}") from error
-        self.watch = Watch(self.loop, self.config.discovery, self.fleet, self.dispatcher.tell, self.counts, self.log)
+        self.discovery_watch = Watch(
+            self.loop, self.config.discovery, self.fleet, self.dispatcher.tell, self.counts, self.log
+        )
 
     def reload(self) -> None:
-        """Read both files anew, all or nothing: move to where discovery and the counter are, take settings."""
+        """Reload both files, all or nothing, and follow discovery and the counter to their new addresses."""
         try:
-            new = load(os.environ, anew=True)
-            operator = read(self.operator_path) if self.operator_path else self.operator
-            if self.agreement is not None and operator.shared != self.operator.shared:
-                by = self.agreement.changed_by
-                self.log.write(f"operators' file: shared is changed by `{by}` only; left as it is")
-                operator = msgspec.structs.replace(operator, shared=self.operator.shared)
-            wrong = refused(operator.shared, operator, new.settings, new.plans, new.classes)
-            if wrong:
-                raise OperatorError(f"{self.operator_path}: shared.{wrong}")
-        except (ConfigError, OperatorError) as error:  # the old goes on serving: a bad file must not end a gateway
+            new_config = load(os.environ, anew=True)
+            new_operator = read(self.operator_path) if self.operator_path else self.operator_settings
+            if self.agreement is not None and new_operator.shared != self.operator_settings.shared:
+                changed_by = self.agreement.changed_by
+                self.log.write(
+                    f"operators' file: `shared` can only be changed by `{changed_by}`; keeping the old value"
+                )
+                new_operator = msgspec.structs.replace(new_operator, shared=self.operator_settings.shared)
+            problem = refused(
+                new_operator.shared, new_operator, new_config.settings, new_config.plans, new_config.classes
+            )
+            if problem:
+                raise OperatorError(f"{self.operator_path}: shared.{problem}")
+        except (ConfigError, OperatorError) as error:  # keep the old settings: a bad file must not stop a gateway
             self.counts.add("reload", "refused")
             return self.log.write(f"configuration not taken over: {error}")
         self.counts.add("reload", "taken")
-        changes = differences(self.operator, operator)
+        changes = differences(self.operator_settings, new_operator)
         if changes:
-            for part in ("members", "quota", "accord", "distribution"):
-                if getattr(operator, part) != getattr(self.operator, part):
-                    self.log.write(f"operators' file: {part} takes hold at the next start")
-            self.operator = operator
-            self.pool.plan.configure(operator.links)
+            for section in ("members", "quota", "accord", "distribution"):
+                if getattr(new_operator, section) != getattr(self.operator_settings, section):
+                    self.log.write(f"operators' file: changes of {section} take effect at the next start")
+            self.operator_settings = new_operator
+            self.pool.plan.configure(new_operator.links)
             if self.agreement is None:
-                self.apply(operator.shared, None)
+                self.apply_policy(new_operator.shared, None)
             else:
                 self.agreement.look_again()
-            self.shift()
+            self.configure_shifter()
             self.log.write(f"operators' file taken over: {', '.join(changes)}")
-        if new.discovery != self.watch.address:
-            self.watch = self.watch.moved(new.discovery)
-        if self.counter is not None and new.counter is not None and new.counter != self.counter.address:
+        if new_config.discovery != self.discovery_watch.address:
+            self.discovery_watch = self.discovery_watch.moved(new_config.discovery)
+        if self.counter is not None and new_config.counter is not None and new_config.counter != self.counter.address:
             self.counter.retire()
-            self.counter = self.counter_at(new.counter)
-        if self.sharing is not None and new.counter is not None:
-            self.sharing.move(new.counter)
-
-    def mind_signals(self) -> None:
-        """Have signals wake the loop, which then reads their numbers."""
-        # A pipe, not a socket pair: on the days at size a process may hold TCP and UDP sockets over IPv4 only.
-        wake, woken = os.pipe()
-        for end in (wake, woken):
-            os.set_blocking(end, False)
-        signal.set_wakeup_fd(woken, warn_on_full_buffer=False)
+            self.counter = self.open_counter(new_config.counter)
+        if self.sharing is not None and new_config.counter is not None:
+            self.sharing.move(new_config.counter)
+
+    def install_signal_handlers(self) -> None:
+        """Have signals wake the event loop, which reads their numbers from a pipe."""
+        # A pipe, not a socket pair: large-scale environments allow a process only TCP and UDP sockets over IPv4.
+        read_fd, write_fd = os.pipe()
+        for descriptor in (read_fd, write_fd):
+            os.set_blocking(descriptor, False)
+        signal.set_wakeup_fd(write_fd, warn_on_full_buffer=False)
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGUSR1, signal.SIGHUP):
             signal.signal(number, lambda *_: None)  # the loop reads the number from the wake-up pipe
-        self.loop.register(wake, select.EPOLLIN, lambda mask: self.on_signals(os.read(wake, 64)))
-        self.signal_pipe = wake, woken
+        self.loop.register(read_fd, select.EPOLLIN, lambda mask: self.on_signals(os.read(read_fd, 64)))
+        self.signal_pipe = read_fd, write_fd
 
     def run(self) -> None:
-        """Serve until told to end."""
+        """Serve until the loop is stopped."""
         gc.collect()
-        gc.freeze()  # what is here now stays: no collection needs to look at it again
-        gc.set_threshold(
-            GC_THRESHOLD_OBJECTS, 20, 50
-        )  # requests leave no cycles: connections alone do, and those are few
+        gc.freeze()  # objects made at start live as long as the process: collections can skip them
+        # Requests create no reference cycles; only connections do, and those are few.
+        gc.set_threshold(GC_THRESHOLD_OBJECTS, 20, 50)
         self.loop.run()
-        signal.signal(signal.SIGTERM, signal.SIG_IGN)  # it ends already: the interpreter's own end would die of it
+        # The exit has begun: another SIGTERM would kill the process during the interpreter's own shutdown.
+        signal.signal(signal.SIGTERM, signal.SIG_IGN)
         self.log.write(str(self.counts))
         for line in self.pool.describe()[:1] + (self.shifter.describe() if self.shifter else []):
             self.log.write(line)
 
     def on_signals(self, numbers: bytes) -> None:
-        """Print the counters, move to a new configuration, or begin the end."""
+        """Log the counters on SIGUSR1, reload on SIGHUP, and begin the shutdown on SIGTERM or SIGINT."""
         for number in numbers:
             if number == signal.SIGUSR1:
                 self.log.write(str(self.counts))
@@ -385,38 +413,38 @@
             elif number == signal.SIGHUP:
                 self.loop.guard(self.reload)
             else:
-                self.begin_end()
+                self.begin_shutdown()
 
-    def take_over(self) -> None:
-        """Go on from what the process before this one knew, where this is an upgrade: before anyone can connect."""
+    def restore_snapshot(self) -> None:
+        """In an upgrade, restore the state of the process being replaced, before any client can connect."""
         data = self.handover.join()
         if data is None:
             return
         try:
             latency, faults = snapshot.restore(self.module, self.config.settings, data, now_ms())
         except snapshot.SnapshotError as error:
-            return self.log.write(f"snapshot of the process before this one ignored: {error}")
+            return self.log.write(f"ignoring the snapshot of the process being replaced: {error}")
         self.module.latency = dict(zip(self.config.settings.classes, latency, strict=True))
         self.module.faults = faults
         replan(self.module, self.config.settings.plans, self.module.settings.plans, now_ms())
         self.log.write(
-            f"taken over from the process before this one: {len(self.module.customers)} customers, "
+            f"restored from the process being replaced: {len(self.module.customers)} customers, "
             f"{len(data['links'])} servers"
         )
 
-    def snapshot(self) -> dict[str, Any]:
-        """Give what the next process of this gateway can use."""
+    def take_snapshot(self) -> dict[str, Any]:
+        """Return the state that the next process of this gateway can restore."""
         classes = self.config.settings.classes
         return snapshot.take(
             self.module,
             self.config.settings,
-            [self.module.latency[kind] for kind in classes],
+            [self.module.latency[request_class] for request_class in classes],
             self.module.faults,
             self.module.settings.plans,
         )
 
     def hand_over(self) -> None:
-        """A newer process of this gateway is ready: what is new is its; this one ends with its last client."""
+        """Leave new connections and peer messages to a newer process that is ready; exit with the last client."""
         if self.membership is not None:
             self.membership.hand_over()
         if self.sharing is not None:
@@ -427,28 +455,29 @@
             self.peers.only_speak()
         self.front.hand_over()
 
-    def begin_end(self) -> None:
-        """Serve on while clients may still come, answer what was taken, and stop; once only."""
+    def begin_shutdown(self) -> None:
+        """Keep serving while clients may still connect, answer what was accepted, then stop; idempotent."""
         if not self.stopping:
-            self.handover.look_now()  # a newer process may have spoken since the last look
+            self.handover.look_now()  # a newer process may have become ready since the last poll
             self.stopping = True
             if self.membership is not None:
                 self.membership.leave()
-            longest = max(kind.deadline_ms for kind in self.config.settings.classes)
-            self.front.stop(longest)
-            self.loop.after(CLOSE_MS + longest + LAST_MS, self.loop.stop)  # nobody waits any more
+            longest_deadline_ms = max(request_class.deadline_ms for request_class in self.config.settings.classes)
+            self.front.stop(longest_deadline_ms)
+            # By then every accepted request is past its deadline: no client is waiting.
+            self.loop.after(CLOSE_MS + longest_deadline_ms + SHUTDOWN_MARGIN_MS, self.loop.stop)
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run one gateway; ``--operator FILE`` names the operators' file, without which all is at its default."""
+    """Run one gateway; ``--operator FILE`` names the operators' file, without which every setting has its default."""
     arguments = sys.argv[1:] if arguments is None else arguments
     if arguments and (len(arguments) != 2 or arguments[0] != "--operator"):
         print("petrelhall: usage: python -m petrelhall [--operator FILE]", file=sys.stderr)
         return 2
     log, path = Log(), arguments[1] if arguments else ""
     try:
-        operator = read(path) if path else File()
-        program = Program(load(os.environ), log, operator, path)
+        operator_settings = read(path) if path else File()
+        program = Program(load(os.environ), log, operator_settings, path)
     except (ConfigError, OperatorError) as error:
         print(f"petrelhall: {error}", file=sys.stderr)
         return 2
--- a/petrelhall/gateway/shifting.py
+++ b/petrelhall/gateway/shifting.py
@@ -1,4 +1,7 @@
-"""Carries out a move between two pools: labels boxes and requests, and tells the core how attempts end."""
+"""Carries out a traffic shift between two server pools.
+
+Assigns servers and requests to pools and reports to the core in ``shift.move`` how attempts end.
+"""
 
 from __future__ import annotations
 
@@ -23,85 +26,87 @@
 from petrelhall.shift.move import Mover, State, Turn
 from petrelhall.shift.plan import PoolError, Pools, side
 
-LOOK_MS = 250.0
-WORD = struct.Struct("<cIBBff")  # SHIFT, the move's digest, state, step, logs of the wealth on slower and on errors
-WORD_MS = 1000.0
-TOLD = {Ending.OK, Ending.ERROR, Ending.RESET, Ending.TIMEOUT, Ending.FULL, Ending.CONNECT_FAILED}
-STATES = list(State)
+TICK_MS = 250.0
+# SHIFT, the move's digest, state, step, and the log wealth (evidence) of the tests for slower answers and for errors.
+PEER_MESSAGE = struct.Struct("<cIBBff")
+ANNOUNCE_INTERVAL_MS = 1000.0
+JUDGED_ENDINGS = {Ending.OK, Ending.ERROR, Ending.RESET, Ending.TIMEOUT, Ending.FULL, Ending.CONNECT_FAILED}
+STATES = list(State)  # peer messages carry an index into it
 
 
 class TrafficShifter:
-    """One gateway's part in the operators' move; does nothing where they have set none."""
+    """One gateway's part in the operators' move; does nothing if none is configured."""
 
     def __init__(
         self,
         loop: Loop,
         fleet: Fleet,
-        plan: Plan,
-        tell: Callable[[api.Event], None],
+        connection_plan: Plan,
+        on_event: Callable[[api.Event], None],
         counts: Counts,
         log: Callable[[str], None],
         classes: tuple[str, ...],
         plans: tuple[str, ...],
     ) -> None:
-        self.loop, self.fleet, self.plan, self.tell, self.counts, self.log = loop, fleet, plan, tell, counts, log
+        self.loop, self.fleet, self.connection_plan, self.on_event = loop, fleet, connection_plan, on_event
+        self.counts, self.log = counts, log
         self.classes, self.plans = classes, plans
         self.settings: Shift | None = None
-        self.named: Pools | None = None
+        self.pool_rules: Pools | None = None
         self.mover: Mover | None = None
         self.timer: Timer | None = None
-        self.complained: set[str] = set()
-        self.labels: dict[str, str | None] = {}  # of each box, as it was last listed
+        self.reported_servers: set[str] = set()  # logged as being in no pool, or in more than one
+        self.pool_by_server: dict[str, str | None] = {}  # as of each server's last listing
         self.to_peers: Callable[[bytes], None] | None = None
         self.last_announced_ms = 0.0
-        self.record: list[str] | None = None  # judged answers, until they are written
+        self.unwritten_records: list[str] | None = None  # judged answers; None while recording is off
 
     # Settings
 
     def configure(self, settings: Shift | None) -> None:
-        """Take the operators' settings; a move of another name begins anew, none ends it."""
+        """Apply the operators' settings: a move with another name or pools starts anew, a removed one ends."""
         if settings == self.settings:
             return
-        before, self.settings = self.mover, settings
-        self.named = Pools(settings) if settings is not None else None
-        self.fleet.label = self.label if self.named is not None else (lambda entry: "")
-        self.complained.clear()
-        self.labels.clear()
+        previous, self.settings = self.mover, settings
+        self.pool_rules = Pools(settings) if settings is not None else None
+        self.fleet.label = self.assign_pool if self.pool_rules is not None else (lambda entry: "")
+        self.reported_servers.clear()
+        self.pool_by_server.clear()
         move = settings.move if settings is not None else None
         if move is None:
             self.mover = None
-        elif before is not None and (before.move.name, before.move.source, before.move.target) == (
+        elif previous is not None and (previous.move.name, previous.move.source, previous.move.target) == (
             move.name,
             move.source,
             move.target,
         ):
-            before.told(move)
+            previous.told(move)
         else:
             self.mover = Mover(move, max(1, len(self.classes)))
         if self.fleet.entries:
-            self.tell(self.fleet.relabel())
+            self.on_event(self.fleet.relabel())
         if self.timer is None and self.mover is not None:
             self.tick()
 
-    def label(self, entry: dict[str, object]) -> str | None:
-        """Name a box's pool; one that is in none or in two is not used, and told of once."""
-        assert self.named is not None
-        name = str(entry.get("id"))
+    def assign_pool(self, entry: dict[str, object]) -> str | None:
+        """Return a server's pool; one in no pool or in several is not used, which is logged once."""
+        assert self.pool_rules is not None
+        server = str(entry.get("id"))
         try:
-            pool = self.labels[name] = self.named.of(entry)
+            pool = self.pool_by_server[server] = self.pool_rules.of(entry)
             return pool
         except PoolError as error:
-            self.labels[name] = None
-            if name not in self.complained:
+            self.pool_by_server[server] = None
+            if server not in self.reported_servers:
                 self.counts.add("shift", "boxes_in_no_pool")
-                self.complained.add(name)
-                self.log(f"shift: {error}; it is not used")
+                self.reported_servers.add(server)
+                self.log(f"shift: {error}; the server is not used")
             return None
 
     # Requests
 
     def pools(self, request: Request) -> tuple[str, ...]:
-        """Give the pools that a request may go to, in order."""
+        """Return the pools that a request may use, in order of preference."""
         mover = self.mover
         if mover is None:
             return ()
@@ -115,30 +120,37 @@
         ).pools
 
     def ended(self, request: Request, pools: tuple[str, ...], server: str, result: Result, took_ms: float) -> None:
-        """Take in how a first attempt ended. What spilt, or met a cold box, compares with nothing."""
+        """Pass the outcome of a request's first attempt to the core.
+
+        Attempts that spilt into another pool or met a cold server are left out, since nothing compares with them.
+        """
         mover = self.mover
-        box = self.plan.boxes.get(server)
-        if mover is None or not pools or server not in self.labels or result.ending not in TOLD:
+        connections = self.connection_plan.boxes.get(server)
+        if mover is None or not pools or server not in self.pool_by_server or result.ending not in JUDGED_ENDINGS:
             return
-        move, pool = mover.move, self.labels[server]
+        move, pool = mover.move, self.pool_by_server[server]
         self.counts.add("shift", f"attempts_{pool}")
         if pool != pools[0]:
             self.counts.add("shift", "spilt")
             return
         now = now_ms()
-        if box is not None and self.plan.cold(now, box):
+        if connections is not None and self.connection_plan.cold(now, connections):
             self.counts.add("shift", "cold_left_out")
             return
-        names = self.classes[request.request_class], self.plans[request.plan]
-        out = move.leave_out
-        if names[0] in out.classes or names[1] in out.plans or request.customer in out.districts:
+        class_and_plan = self.classes[request.request_class], self.plans[request.plan]
+        left_out = move.leave_out
+        if (
+            class_and_plan[0] in left_out.classes
+            or class_and_plan[1] in left_out.plans
+            or request.customer in left_out.districts
+        ):
             return
-        kind = names[0], names[1], round(math.log2(max(1e-3, request.units)))
+        kind = class_and_plan[0], class_and_plan[1], round(math.log2(max(1e-3, request.units)))
         error = result.ending not in (Ending.OK, Ending.TIMEOUT)
         answer = Answer(kind, took_ms, error, result.ending is Ending.TIMEOUT, request.customer)
         mover.answer(now, answer, pool == move.target)
-        if self.record is not None:
-            self.record.append(
+        if self.unwritten_records is not None:
+            self.unwritten_records.append(
                 ujson.dumps(
                     {
                         "at_ms": now,
@@ -152,86 +164,88 @@
                 )
             )
 
-    # Time
+    # Periodic work
 
     def tick(self) -> None:
-        """Let the core go on, and tell people and peers."""
+        """Advance the move; log its transitions and announce its state to peers."""
         mover = self.mover
         if mover is None:
             self.timer = None
             return
-        self.timer = self.loop.after(LOOK_MS, self.tick)
-        self.write_record(mover)
+        self.timer = self.loop.after(TICK_MS, self.tick)
+        self.write_records(mover)
         now = now_ms()
-        if len(self.labels) > 2 * len(self.fleet.entries) + 100:  # boxes that have gone for good
-            self.labels = {name: pool for name, pool in self.labels.items() if name in self.fleet.entries}
-        pools = {self.labels.get(name) for name in self.fleet.healthy}
-        ready = mover.move.source in pools and mover.move.target in pools
-        turns = mover.look(now, now / 1000.0, ready)
-        for turn in turns:
-            self.note(mover, turn)
-        if self.to_peers is not None and (turns or now - self.last_announced_ms >= WORD_MS):
+        if len(self.pool_by_server) > 2 * len(self.fleet.entries) + 100:  # drop servers that are no longer listed
+            self.pool_by_server = {
+                server: pool for server, pool in self.pool_by_server.items() if server in self.fleet.entries
+            }
+        usable_pools = {self.pool_by_server.get(server) for server in self.fleet.healthy}
+        pools_ready = mover.move.source in usable_pools and mover.move.target in usable_pools
+        transitions = mover.look(now, now / 1000.0, pools_ready)
+        for transition in transitions:
+            self.log_transition(mover, transition)
+        if self.to_peers is not None and (transitions or now - self.last_announced_ms >= ANNOUNCE_INTERVAL_MS):
             self.last_announced_ms = now
             self.to_peers(
-                WORD.pack(
+                PEER_MESSAGE.pack(
                     SHIFT,
-                    digest(mover),
+                    move_digest(mover),
                     STATES.index(mover.state),
                     mover.step,
-                    clip(mover.judge.all.slower.log),
-                    clip(mover.judge.all.errs.log),
+                    clamp_log(mover.judge.all.slower.log),
+                    clamp_log(mover.judge.all.errs.log),
                 )
             )
 
-    def write_record(self, mover: Mover) -> None:
-        """Append what was judged to the operators' file, where they want that."""
+    def write_records(self, mover: Mover) -> None:
+        """Append the judged answers to the record file, if the operators have set one."""
         if not mover.move.record:
-            self.record = None
+            self.unwritten_records = None
             return
-        if self.record:
+        if self.unwritten_records:
             try:
                 with open(mover.move.record, "a") as file:
-                    file.write("\n".join(self.record) + "\n")
+                    file.write("\n".join(self.unwritten_records) + "\n")
             except OSError as error:
                 self.counts.add("shift", "record_failed")
-                self.log(f"shift: cannot record: {error.strerror}")
-        self.record = []
+                self.log(f"shift: cannot write the record file: {error.strerror}")
+        self.unwritten_records = []
 
-    def note(self, mover: Mover, turn: Turn) -> None:
-        """Log one change as one line of JSON."""
-        self.counts.add("shift", f"turns_{turn.state.value}")
+    def log_transition(self, mover: Mover, transition: Turn) -> None:
+        """Log a transition of the move as a line of JSON."""
+        self.counts.add("shift", f"turns_{transition.state.value}")
         self.log(
             "shift "
             + ujson.dumps(
                 {
                     "move": mover.move.name,
-                    "state": turn.state.value,
-                    "share": round(turn.share, 4),
-                    "reason": turn.reason,
+                    "state": transition.state.value,
+                    "share": round(transition.share, 4),
+                    "reason": transition.reason,
                 }
             )
         )
 
     def on_peer_message(self, number: int, content: bytes) -> None:
-        """Take in what another gateway says; junk and other moves are passed over."""
+        """Take in the state of another gateway; malformed messages and those about other moves are ignored."""
         mover = self.mover
-        if mover is None or len(content) != WORD.size:
+        if mover is None or len(content) != PEER_MESSAGE.size:
             return
-        _, name, state, step, slower, errs = WORD.unpack(content)
-        if name == digest(mover) and state < len(STATES):
-            mover.heard(number, STATES[state], step, slower, errs)
+        _, digest, state, step, log_slower, log_errors = PEER_MESSAGE.unpack(content)
+        if digest == move_digest(mover) and state < len(STATES):
+            mover.heard(number, STATES[state], step, log_slower, log_errors)
 
     def describe(self) -> list[str]:
-        """Give the state in lines for people."""
+        """Return the move's status as log lines."""
         return [] if self.mover is None else ["shift " + ujson.dumps(self.mover.status())]
 
 
-def digest(mover: Mover) -> int:
-    """Give a short name for a move that all gateways share."""
+def move_digest(mover: Mover) -> int:
+    """Return a hash of the move's name and pools, by which all gateways identify it."""
     move = mover.move
     return xxhash.xxh32_intdigest(f"{move.name}\0{move.source}\0{move.target}".encode())
 
 
-def clip(log: float) -> float:
-    """Keep a log of a wealth within what a message's float holds."""
-    return max(-1e6, min(1e6, log))
+def clamp_log(log_wealth: float) -> float:
+    """Clamp a log wealth to a finite range that the 32-bit float of a peer message can hold."""
+    return max(-1e6, min(1e6, log_wealth))
