--- a/petrelhall/gateway/shifting.py
+++ b/petrelhall/gateway/shifting.py
@@ -31,7 +31,7 @@
 PEER_MESSAGE = struct.Struct("<cIBBff")
 ANNOUNCE_INTERVAL_MS = 1000.0
 JUDGED_ENDINGS = {Ending.OK, Ending.ERROR, Ending.RESET, Ending.TIMEOUT, Ending.FULL, Ending.CONNECT_FAILED}
-STATES = list(State)
+STATES = list(State)  # peer messages carry an index into it
 
 
 class TrafficShifter:
@@ -64,7 +64,7 @@
     # Settings
 
     def configure(self, settings: Shift | None) -> None:
-        """Apply the operators' settings: a move with another name or other pools starts over, no move ends it."""
+        """Apply the operators' settings: a move with another name or pools starts anew, a removed one ends."""
         if settings == self.settings:
             return
         previous, self.settings = self.mover, settings
