--- a/petrelhall/links/bounds.py
+++ b/petrelhall/links/bounds.py
@@ -32,7 +32,7 @@
             box.bound, box.grown = min(float(most), box.bound + steps), box.grown + steps * GROW_MS
         return box.bound
 
-    def bound_of_all(self, now: float) -> float:
+    def total_bound(self, now: float) -> float:
         """Give how many connections there may be in all."""
         if self.total < self.most and now - self.total_grown >= TOTAL_GROW_MS:
             steps = int((now - self.total_grown) / TOTAL_GROW_MS)
@@ -40,12 +40,12 @@
             self.total_grown += steps * TOTAL_GROW_MS
         return self.total
 
-    def cut(self, now: float, box: Box, established: int) -> None:
+    def lower(self, now: float, box: Box, established: int) -> None:
         """A box holds as many connections as it wants: lower the bound to fewer than it refused."""
         box.bound = max(1.0, min(CUT * self.bound(now, box), float(max(1, established))))
         box.grown = now
         self.inventory.counts["bound.cut"] += 1
 
-    def cut_total(self, now: float) -> None:
+    def lower_total(self, now: float) -> None:
         """Lower the bound of all connections to what there is, since this machine has no descriptor left."""
         self.total, self.total_grown = max(1.0, min(self.total, float(self.inventory.open))), now
--- a/petrelhall/links/limits.py
+++ b/petrelhall/links/limits.py
@@ -39,12 +39,12 @@
     return float((4 + number % 4) << (number // 4 - 1))
 
 
-class Survival:
+class SurvivalEstimate:
     """What was seen of one box's kept connections, or of all boxes' together."""
 
     __slots__ = ("half_ms", "origin", "alive", "dead", "fresh", "fresh_broken", "deaths")
 
-    def __init__(self, now: float, half_ms: float, prior: Survival | None = None) -> None:
+    def __init__(self, now: float, half_ms: float, prior: SurvivalEstimate | None = None) -> None:
         self.half_ms, self.origin = half_ms, now
         self.alive, self.dead = array("d", bytes(8 * CLASSES)), array("d", bytes(8 * CLASSES))
         self.deaths = 0  # ever seen: while there is none, there is nothing to estimate
@@ -67,12 +67,12 @@
             return 1.0
         return float(2.0**halvings)
 
-    def scale(self, factor: float, other: Survival) -> None:
+    def scale(self, factor: float, other: SurvivalEstimate) -> None:
         """Take the counts of another, or its own, times a factor."""
         self.alive = array("d", [factor * count for count in other.alive])
         self.dead = array("d", [factor * count for count in other.dead])
 
-    def served(self, now: float, idle_ms: float) -> None:
+    def record_served(self, now: float, idle_ms: float) -> None:
         """A connection served after lying idle for so long."""
         self.alive[age_class(idle_ms)] += self.weight(now)
 
@@ -93,7 +93,7 @@
             self.alive[number - 1] += self.weight(now)
         self.broke(now, idle_ms)
 
-    def fresh_use(self, now: float, broke: bool) -> None:
+    def record_fresh_use(self, now: float, broke: bool) -> None:
         """A connection that never lay idle served, or broke: what breaks there is no idle limit's doing."""
         weight = self.weight(now)
         self.fresh += weight
@@ -144,7 +144,7 @@
                 return lower_edge(number)
         return 0.0
 
-    def interval(self, now: float) -> tuple[float, float]:
+    def limit_bounds_ms(self, now: float) -> tuple[float, float]:
         """Give what the limit is known to lie between: longest time survived, shortest at which one was dead."""
         least = 0.1 * self.weight(now)
         dead = [number for number in range(FIRST_KNOWN, CLASSES) if self.dead[number] > least]
--- a/petrelhall/links/opening.py
+++ b/petrelhall/links/opening.py
@@ -17,7 +17,7 @@
 RETRY_MS = 15.0  # in which a request without a connection asks again, though nothing woke it
 
 
-class Opening:
+class ConnectionOpener:
     """Begins connections, within the bounds and at the pace of a server's slow start."""
 
     def __init__(
@@ -26,7 +26,7 @@
         self.settings, self.inventory, self.bounds, self.slow_start = settings, inventory, bounds, slow_start
         self.random = draw
 
-    def hindered(self, now: float, box: Box) -> Wait | None:
+    def required_wait(self, now: float, box: Box) -> Wait | None:
         """Say why no connection to a box may be opened now, if so; makes room where that can be had."""
         if box.open + 1 > self.bounds.bound(now, box):
             while box.idle and box.open + 1 > box.bound:  # idle, and yet not to be used: by this request at least
@@ -41,7 +41,7 @@
             rate = self.slow_start.fill(now, box)
             if box.tokens < 1.0:
                 return Wait(max(1.0, 1000.0 * (1.0 - box.tokens) / rate), "cold")
-        if self.inventory.open + 1 > self.bounds.bound_of_all(now):
+        if self.inventory.open + 1 > self.bounds.total_bound(now):
             oldest = next(iter(self.inventory.idle), None)
             if oldest is not None:
                 self.inventory.retire(oldest, "room")
@@ -72,19 +72,19 @@
         """Give a factor about one."""
         return 1.0 + SPREAD * (2.0 * self.random.random() - 1.0)
 
-    def open_ahead(self, now: float, box: Box, ahead: list[Link]) -> None:
+    def preconnect(self, now: float, box: Box, ahead: list[Link]) -> None:
         """Open a spare beyond a box's recent use, where requests had to wait for new connections."""
         if now < box.ahead_from or box.dead_at or box.kept_ms < WORTH_MS or self.slow_start.cold(now, box):
             return
         wanted = max(box.peak, box.last_peak) + self.settings.ahead
-        if box.open + 1 > min(
-            wanted, self.bounds.bound(now, box)
-        ) or self.inventory.open + 1 > self.bounds.bound_of_all(now):
+        if box.open + 1 > min(wanted, self.bounds.bound(now, box)) or self.inventory.open + 1 > self.bounds.total_bound(
+            now
+        ):
             return
-        if self.hindered(now, box) is None:
+        if self.required_wait(now, box) is None:
             ahead.append(self.begin(now, box, True))
 
-    def unused(self, now: float, link: Link) -> None:
+    def record_unused(self, now: float, link: Link) -> None:
         """Learn from a connection that was opened ahead and never used: pause, longer each time."""
         if link.ahead and not link.uses:
             box = link.box
--- a/petrelhall/links/plan.py
+++ b/petrelhall/links/plan.py
@@ -17,11 +17,11 @@
 from petrelhall.links.connection import End, Link, No, State, Wait
 from petrelhall.links.inventory import Inventory
 from petrelhall.links.limits import NEVER
-from petrelhall.links.opening import Opening
-from petrelhall.links.reuse import FRESH_MS, Reuse
+from petrelhall.links.opening import ConnectionOpener
+from petrelhall.links.reuse import ESTIMATE_MAX_AGE_MS, ReusePolicy
 from petrelhall.links.server import Box
 from petrelhall.links.slow_start import SlowStart
-from petrelhall.links.staleness import SETTLE_MS, Staleness
+from petrelhall.links.staleness import DEATH_SPAN_MS, StalenessTracker
 from petrelhall.operator.settings import Links
 
 __all__ = ["Box", "End", "Link", "No", "Plan", "State", "Wait"]
@@ -46,9 +46,9 @@
         self.inventory = inventory = Inventory()
         self.bounds = Bounds(settings, room, inventory)
         self.slow_start = SlowStart(settings, cold_ms, max(1, gateways), draw)
-        self.staleness = Staleness(settings, idle_ms, inventory, self.slow_start)
-        self.reuse = Reuse(settings.reuse, inventory, self.staleness)
-        self.opener = Opening(settings, inventory, self.bounds, self.slow_start, draw)
+        self.staleness = StalenessTracker(settings, idle_ms, inventory, self.slow_start)
+        self.reuse = ReusePolicy(settings.reuse, inventory, self.staleness)
+        self.opener = ConnectionOpener(settings, inventory, self.bounds, self.slow_start, draw)
         # The same objects as the inventory's and the methods themselves, since shells use them for each request.
         self.idle, self.closing = inventory.idle, inventory.closing
         self.leaving, self.counts = inventory.leaving, inventory.counts
@@ -100,7 +100,7 @@
             self.unlisted(name, "moved")
         if not self.listed_at:
             self.listed_at = now
-        survival = self.staleness.of_new_server(now)
+        survival = self.staleness.initial_estimate(now)
         box = self.boxes[name] = Box(name, address, float(self.settings.per_box), survival)
         box.grown = box.tokens_at = now
         box.started = started_ms or 0.0
@@ -142,9 +142,9 @@
             if box.busy + box.opening > box.peak:
                 box.peak = box.busy + box.opening
             return link
-        rest = self.reuse.resting(now, box, self.settings.wait_ms)
+        rest = self.reuse.reuse_delay_left_ms(now, box, self.settings.wait_ms)
         box.missed, box.rests = box.missed + (not rest), box.rests + (rest > 0.0)
-        hindered = Wait(rest, "resting") if rest else self.opener.hindered(now, box)
+        hindered = Wait(rest, "resting") if rest else self.opener.required_wait(now, box)
         if hindered is not None:
             self.counts["waits." + hindered.cause] += 1
             return hindered
@@ -178,19 +178,19 @@
         self.inventory.opening -= 1
         self.counts["failed." + end.value] += 1
         if end is End.OURS:
-            self.bounds.cut_total(now)
+            self.bounds.lower_total(now)
             return False
         if end is End.LEFT:
             return False
         established = box.busy + len(box.idle)
         if end is End.RESET:
-            self.bounds.cut(now, box, established)
+            self.bounds.lower(now, box, established)
             return False
         box.refusals = box.refusals + 1 if now - box.refused < ALIVE_MS else 1
         box.refused = now
         lives = established > 0 and now - box.answered < ALIVE_MS
         if end is End.REFUSED and lives and box.refusals < REFUSALS:
-            self.bounds.cut(now, box, established)
+            self.bounds.lower(now, box, established)
             return False
         box.dead_at = now
         box.deaths.clear()  # those died of their box's end, not of lying idle
@@ -205,11 +205,11 @@
         box.answered, box.refusals = now, 0
         link.uses += 1
         if link.idle_ms >= 0.0:
-            box.survival.served(now, link.idle_ms)
+            box.survival.record_served(now, link.idle_ms)
             if link.idle_ms > box.survived:
                 box.survived = link.idle_ms
         else:
-            box.survival.fresh_use(now, False)
+            box.survival.record_fresh_use(now, False)
         if link.ahead and box.wasted:
             box.wasted -= 1
         link.ahead = False
@@ -219,18 +219,18 @@
     def broke(self, now: float, link: Link) -> None:
         """A connection broke under a request before anything came back; it had died, or its box has."""
         box = link.box
-        if self.staleness.server_ended(now, box, box.busy + len(box.idle) - 1):
+        if self.staleness.detect_server_end(now, box, box.busy + len(box.idle) - 1):
             return
         if link.idle_ms < 0.0:
-            box.survival.fresh_use(now, True)
+            box.survival.record_fresh_use(now, True)
             if box.busy + len(box.idle) > 1 and now - box.answered < ALIVE_MS:
-                self.bounds.cut(now, box, box.busy + len(box.idle) - 1)  # taken and then ended: one too many
+                self.bounds.lower(now, box, box.busy + len(box.idle) - 1)  # taken and then ended: one too many
             return
         box.stale += 1
         self.counts["stale"] += 1
-        self.staleness.died(now, box, link.idle_ms, False)
+        self.staleness.record_death(now, box, link.idle_ms, False)
         if link.tried:
-            self.staleness.drop_doubtful(box)
+            self.staleness.retire_suspected(box)
 
     def silent(self, now: float, link: Link) -> None:
         """A request on a connection timed out without a byte: slow box or dead connection, nobody can tell.
@@ -245,9 +245,9 @@
         if box.answered > taken:
             self.counts["stale"] += 1
             box.stale += 1
-            self.staleness.died(now, box, link.idle_ms, False)
+            self.staleness.record_death(now, box, link.idle_ms, False)
         if link.tried:
-            self.staleness.drop_doubtful(box)
+            self.staleness.retire_suspected(box)
         else:
             box.doubt = max(box.doubt, taken)
             self.counts["doubted"] += 1
@@ -288,15 +288,15 @@
             return
         box = link.box
         self.inventory.take_out(link, "closed")
-        self.opener.unused(now, link)
-        if not self.staleness.server_ended(now, box, box.busy + len(box.idle)):
-            self.staleness.died(now, box, now - link.idle_since, True)
+        self.opener.record_unused(now, link)
+        if not self.staleness.detect_server_end(now, box, box.busy + len(box.idle)):
+            self.staleness.record_death(now, box, now - link.idle_since, True)
 
     def spoilt(self, now: float, link: Link) -> None:
         """Something came on an idle connection that nobody had asked for: it is not used again, and tells no more."""
         if link.state is State.IDLE:
             self.inventory.take_out(link, "spoilt")
-            self.opener.unused(now, link)
+            self.opener.record_unused(now, link)
 
     def found_closed(self, now: float, link: Link) -> None:
         """A connection just taken was seen to be closed before anything was written to it."""
@@ -306,8 +306,8 @@
             box.trying, link.tried = False, False
         self.inventory.close_counted(link)
         self.counts["retired.closed"] += 1
-        if not self.staleness.server_ended(now, box, box.busy + len(box.idle)):
-            self.staleness.died(now, box, link.idle_ms, False)
+        if not self.staleness.detect_server_end(now, box, box.busy + len(box.idle)):
+            self.staleness.record_death(now, box, link.idle_ms, False)
 
     # From time to time
 
@@ -319,21 +319,21 @@
         ahead: list[Link] = []
         looks = LOOKS
         for box in self.boxes.values():
-            if box.deaths and now - box.deaths[0][0] >= SETTLE_MS:
-                self.staleness.settle(now, box)
+            if box.deaths and now - box.deaths[0][0] >= DEATH_SPAN_MS:
+                self.staleness.evaluate_deaths(now, box)
             if box.idle:
-                if looks and now - box.looked > FRESH_MS:
+                if looks and now - box.looked > ESTIMATE_MAX_AGE_MS:
                     looks -= 1
-                    self.staleness.look(now, box)
+                    self.staleness.refresh_limits(now, box)
                 while box.idle and now - box.idle[0].idle_since >= box.kept_ms:
-                    self.opener.unused(now, box.idle[0])
+                    self.opener.record_unused(now, box.idle[0])
                     self.inventory.retire(box.idle[0], "idle")
             if box.warm_at <= now:
                 box.warm_at = NEVER
-                if not box.open and self.opener.hindered(now, box) is None:
+                if not box.open and self.opener.required_wait(now, box) is None:
                     ahead.append(self.opener.begin(now, box, True))
             elif box.missed > 1 and self.settings.ahead:  # one miss is a first use, or chance
-                self.opener.open_ahead(now, box, ahead)
+                self.opener.preconnect(now, box, ahead)
             if new_window:
                 box.last_peak, box.peak, box.missed, box.rests = box.peak, box.busy + box.opening, 0, 0
         return ahead
@@ -345,11 +345,11 @@
         idle = len(self.idle)
         lines = [
             f"links open={self.inventory.open} idle={idle} opening={self.inventory.opening} "
-            f"bound={self.bounds.bound_of_all(now):g} "
+            f"bound={self.bounds.total_bound(now):g} "
             + " ".join(f"{name}={count}" for name, count in sorted(self.counts.items()))
         ]
         for box in sorted(self.boxes.values(), key=lambda box: (-box.open, box.id))[:most]:
-            low, high = box.survival.interval(now)
+            low, high = box.survival.limit_bounds_ms(now)
             told = "untold" if high == NEVER else f"{high / 1000.0:.2f}s"
             lines.append(
                 f"links box={box.id} busy={box.busy} idle={len(box.idle)} opening={box.opening} most={box.most} "
--- a/petrelhall/links/server.py
+++ b/petrelhall/links/server.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from petrelhall.links.connection import Link
-from petrelhall.links.limits import NEVER, Survival
+from petrelhall.links.limits import NEVER, SurvivalEstimate
 
 
 class Box:
@@ -50,7 +50,7 @@
         "rests",
     )
 
-    def __init__(self, name: str, address: object, bound: float, survival: Survival) -> None:
+    def __init__(self, name: str, address: object, bound: float, survival: SurvivalEstimate) -> None:
         self.id, self.address, self.listed, self.survival = name, address, True, survival
         self.started = 0.0  # what the list says of its start; 0: long ago
         self.since = 0.0  # since when it has been cold, by the list or by what was seen; 0: long ago
@@ -67,7 +67,7 @@
         self.doubt, self.trying = 0.0, False  # idle since before this: in doubt; one of them is being tried
         self.most = self.opens = self.stale = 0
         self.survived = 0.0  # longest idle time that was survived since the last look
-        self.ends, self.ends_at = 0, -NEVER  # connections that ended by themselves within SETTLE_MS, and since when
+        self.ends, self.ends_at = 0, -NEVER  # connections that ended by themselves within DEATH_SPAN_MS, and since when
 
     @property
     def open(self) -> int:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -9,11 +9,11 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from petrelhall.links.limits import CLASSES, FLOOR_MS, NEVER, Survival, age_class, lower_edge
+from petrelhall.links.limits import CLASSES, FLOOR_MS, NEVER, SurvivalEstimate, age_class, lower_edge
 from petrelhall.links.opening import RETRY_MS
 from petrelhall.links.plan import End, Link, No, Plan, State, Wait
-from petrelhall.links.reuse import REST_MS, RESTS
-from petrelhall.links.staleness import SETTLE_MS
+from petrelhall.links.reuse import RESTS, REUSE_DELAY_MS
+from petrelhall.links.staleness import DEATH_SPAN_MS
 from petrelhall.operator.settings import Cold, Links, Stale
 
 T0 = 1_000_000.0
@@ -31,7 +31,13 @@
         self.assertEqual(age_class(1e12), CLASSES - 1)
 
     def play(
-        self, limit_of: object, seconds: float, life: Survival, start: float = T0, mean: float = 300.0, seed: int = 1
+        self,
+        limit_of: object,
+        seconds: float,
+        life: SurvivalEstimate,
+        start: float = T0,
+        mean: float = 300.0,
+        seed: int = 1,
     ) -> tuple[int, int]:
         """Use connections at random idle times wherever the estimate allows it; give uses and deaths."""
         draw, now, uses, deaths = random.Random(seed), start, 0, 0
@@ -45,20 +51,20 @@
                 deaths += 1
                 life.broke(now, idle)
             else:
-                life.served(now, idle)
+                life.record_served(now, idle)
         return uses, deaths
 
     def test_a_fixed_limit_is_found_with_few_deaths_and_kept_under(self) -> None:
-        life = Survival(T0, HALF_MS)
+        life = SurvivalEstimate(T0, HALF_MS)
         uses, deaths = self.play(lambda now, draw: 400.0, 120.0, life)
         self.assertLess(deaths, 10)
         self.assertGreater(uses, 6000)
-        low, high = life.interval(T0 + 120000.0)
+        low, high = life.limit_bounds_ms(T0 + 120000.0)
         self.assertLessEqual(low, 400.0)
         self.assertGreaterEqual(high, 400.0)
 
     def test_a_limit_that_falls_from_2_s_to_400_ms_is_followed(self) -> None:
-        life = Survival(T0, HALF_MS)
+        life = SurvivalEstimate(T0, HALF_MS)
         self.play(lambda now, draw: 2000.0, 60.0, life)
         self.assertGreater(life.limit(T0 + 60000.0, 0.01), 1000.0)
         _, deaths = self.play(lambda now, draw: 400.0, 60.0, life, T0 + 60000.0, seed=2)
@@ -66,53 +72,53 @@
         self.assertLessEqual(life.limit(T0 + 120000.0, 0.01), 450.0)
 
     def test_a_limit_that_grows_is_tried_anew_once_its_deaths_have_faded(self) -> None:
-        life = Survival(T0, HALF_MS)
+        life = SurvivalEstimate(T0, HALF_MS)
         self.play(lambda now, draw: 300.0, 60.0, life)
         self.assertLess(life.limit(T0 + 60000.0, 0.01), 400.0)
         self.play(lambda now, draw: 30000.0, 400.0, life, T0 + 60000.0)
         self.assertGreater(life.limit(T0 + 460000.0, 0.01), 1000.0)
 
     def test_limits_spread_from_300_to_900_ms_keep_the_share_of_deaths_small(self) -> None:
-        life = Survival(T0, HALF_MS)
+        life = SurvivalEstimate(T0, HALF_MS)
         uses, deaths = self.play(lambda now, draw: draw.uniform(300.0, 900.0), 300.0, life)
         self.assertLess(deaths / uses, 0.01)
 
     def test_connections_that_break_for_other_reasons_do_not_end_their_reuse(self) -> None:
-        life, draw, now = Survival(T0, HALF_MS), random.Random(3), T0
+        life, draw, now = SurvivalEstimate(T0, HALF_MS), random.Random(3), T0
         for _ in range(5000):  # one in 30 breaks, however short it lay idle, and as many fresh ones
             now += 10.0
-            life.fresh_use(now, draw.random() < 1 / 30)
+            life.record_fresh_use(now, draw.random() < 1 / 30)
             idle = draw.expovariate(1 / 100.0)
-            (life.broke if draw.random() < 1 / 30 else life.served)(now, idle)
+            (life.broke if draw.random() < 1 / 30 else life.record_served)(now, idle)
         self.assertGreater(life.limit(now, 0.01), 100.0)
 
     def test_connections_seen_closing_tell_the_limit_from_both_sides(self) -> None:
-        life = Survival(T0, HALF_MS)
+        life = SurvivalEstimate(T0, HALF_MS)
         for _ in range(5):
             life.closed(T0, 500.0)
         self.assertGreater(life.limit(T0, 0.01), 400.0)
         self.assertLessEqual(life.limit(T0, 0.01), 500.0)
 
     def test_whatever_was_seen_connections_are_kept_a_little(self) -> None:
-        life = Survival(T0, HALF_MS)
+        life = SurvivalEstimate(T0, HALF_MS)
         for _ in range(50):
             life.broke(T0, 25.0)
         self.assertGreaterEqual(life.limit(T0, 0.01), FLOOR_MS)
 
     def test_a_box_new_to_us_begins_with_what_was_learned_of_the_others(self) -> None:
-        fleet = Survival(T0, HALF_MS)
+        fleet = SurvivalEstimate(T0, HALF_MS)
         for idle in (100.0, 200.0, 300.0) * 20:
-            fleet.served(T0, idle)
+            fleet.record_served(T0, idle)
         for _ in range(20):
             fleet.closed(T0, 500.0)
-        new = Survival(T0 + 1000.0, HALF_MS, fleet)
+        new = SurvivalEstimate(T0 + 1000.0, HALF_MS, fleet)
         self.assertLess(new.limit(T0 + 1000.0, 0.01), 500.0)
-        self.assertEqual(Survival(T0, HALF_MS, Survival(T0, HALF_MS)).limit(T0, 0.01), NEVER)
+        self.assertEqual(SurvivalEstimate(T0, HALF_MS, SurvivalEstimate(T0, HALF_MS)).limit(T0, 0.01), NEVER)
 
     def test_weights_are_scaled_back_long_before_they_overflow(self) -> None:
-        life = Survival(T0, 1000.0)
+        life = SurvivalEstimate(T0, 1000.0)
         for second in range(3000):
-            life.served(T0 + 1000.0 * second, 100.0)
+            life.record_served(T0 + 1000.0 * second, 100.0)
         self.assertLess(max(life.alive), 1e15)
         self.assertEqual(life.limit(T0 + 3e6, 0.01), NEVER)
 
@@ -251,13 +257,13 @@
         plan = self.plan()
         self.idle(plan, 3)
         for _ in range(3):
-            self.up(plan, T0 + 10.0 + REST_MS)
+            self.up(plan, T0 + 10.0 + REUSE_DELAY_MS)
         verdicts = []
         for step in range(3):
             plan.boxes["b0"].bound = 64.0
-            link = plan.take(T0 + 20.0 + REST_MS + step, "b0", True)
+            link = plan.take(T0 + 20.0 + REUSE_DELAY_MS + step, "b0", True)
             assert isinstance(link, Link)
-            verdicts.append(plan.failed(T0 + 20.0 + REST_MS + step, link, End.REFUSED))
+            verdicts.append(plan.failed(T0 + 20.0 + REUSE_DELAY_MS + step, link, End.REFUSED))
         self.assertEqual(verdicts, [False, False, True])
 
     def test_a_connection_reset_on_arrival_lowers_the_bound_which_grows_by_one_a_second(self) -> None:
@@ -337,7 +343,7 @@
         links = self.idle(plan, 5)
         for number, link in enumerate(links):
             plan.closed(T0 + 700.0 + number, link)
-        plan.tick(T0 + 700.0 + 2 * SETTLE_MS)
+        plan.tick(T0 + 700.0 + 2 * DEATH_SPAN_MS)
         self.assertTrue(plan.cold(T0 + 800.0, plan.boxes["b0"]))
         self.assertEqual(plan.boxes["b0"].survival.limit(T0 + 1000.0, 0.01), NEVER)
 
@@ -379,7 +385,7 @@
                 for number, uses in enumerate((3, 1, 2)):
                     links[number].uses = uses
                     plan.put(T0 + 10.0 + number, links[number], True)
-                self.assertIs(plan.take(T0 + 20.0 + REST_MS, "b0", True), links[wanted])
+                self.assertIs(plan.take(T0 + 20.0 + REUSE_DELAY_MS, "b0", True), links[wanted])
 
     def test_a_connection_rests_after_an_answer_and_none_is_opened_or_closed_for_it(self) -> None:
         plan = self.plan(per_box=1)
@@ -387,8 +393,8 @@
         link.uses = 1
         plan.put(T0 + 10.0, link, True)
         waits = plan.take(T0 + 12.0, "b0", True)
-        self.assertEqual(waits, Wait(REST_MS - 2.0, "resting"))
-        self.assertIs(plan.take(T0 + 10.0 + REST_MS, "b0", True), link)
+        self.assertEqual(waits, Wait(REUSE_DELAY_MS - 2.0, "resting"))
+        self.assertIs(plan.take(T0 + 10.0 + REUSE_DELAY_MS, "b0", True), link)
         self.assertEqual((plan.open, plan.closing), (1, []))
         plan = self.plan()  # where requests come so often that each would wait, another is opened
         link = self.up(plan, T0)
@@ -401,7 +407,7 @@
         told[-1].uses = 1
         self.assertIs(plan.take(T0 + 2001.0, "b0", True), link)
         self.assertIsInstance(plan.take(T0 + 2001.0, "b0", True), Wait)
-        plan = self.plan(wait_ms=REST_MS / 2.0)  # where requests may not wait so long, another is opened
+        plan = self.plan(wait_ms=REUSE_DELAY_MS / 2.0)  # where requests may not wait so long, another is opened
         link = self.up(plan, T0)
         link.uses = 1
         plan.put(T0 + 10.0, link, True)
@@ -485,7 +491,7 @@
         plan.answered(T0 + 950.0, other)
         plan.silent(T0 + 1400.0, old)
         plan.put(T0 + 1400.0, old, False)
-        plan.tick(T0 + 1400.0 + 2 * SETTLE_MS)
+        plan.tick(T0 + 1400.0 + 2 * DEATH_SPAN_MS)
         self.assertLess(plan.boxes["b0"].survival.limit(T0 + 1800.0, 0.01), 900.0)
 
     def test_the_box_s_word_on_its_patience_is_taken(self) -> None:
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -199,7 +199,7 @@
         self.assertEqual((self.results[0].ending, self.results[0].reach), (Ending.MOOT, Reach.UNWRITTEN))
 
     def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_requests(self) -> None:
-        self.patch(reuse, REST_MS=300.0)  # so that a slow machine is in time
+        self.patch(reuse, REUSE_DELAY_MS=300.0)  # so that a slow machine is in time
         self.plan.settings = Links(wait_ms=2000.0)
         self.attempt()
         first = self.accept()
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -18,7 +18,7 @@
 from petrelhall.links.attempt import Reach
 from petrelhall.links.plan import Plan
 from petrelhall.links.pool import Pool
-from petrelhall.links.reuse import REST_MS
+from petrelhall.links.reuse import REUSE_DELAY_MS
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, Task, now_ms
 from petrelhall.operator.settings import Links
@@ -146,7 +146,9 @@
         pool = self.pool()
         self.attempt(pool)
         self.serve(self.accept())
-        self.plan.boxes["s0"].idle[0].idle_since -= REST_MS  # rested: nothing but the look at the socket is in the way
+        self.plan.boxes["s0"].idle[
+            0
+        ].idle_since -= REUSE_DELAY_MS  # rested: nothing but the look at the socket is in the way
         self.held[0].close()
         steps = pool.attempt("s0", ASKED, now_ms() + 1000.0, lambda: False)
         self.addCleanup(steps.close)
