--- a/petrelhall/links/bounds.py
+++ b/petrelhall/links/bounds.py
@@ -1,4 +1,4 @@
-"""How many connections one server and all servers together may have: bounds that are cut and grow again. Pure."""
+"""Bounds on the connections to one server and to all servers; they are lowered on refusal and grow again. Pure."""
 
 from __future__ import annotations
 
@@ -6,46 +6,50 @@
 from petrelhall.links.server import Box
 from petrelhall.operator.settings import Links
 
-CUT, GROW_MS = 0.7, 1000.0  # bound at a server after it refused; time in which the bound grows by one
-TOTAL_GROW_MS = 500.0  # the same for all connections, after the machine had no descriptor
+REFUSAL_BACKOFF_FACTOR = 0.7  # applied to a server's bound after it refused a connection
+GROWTH_INTERVAL_MS = 1000.0  # time in which a server's lowered bound grows by one
+TOTAL_GROWTH_INTERVAL_MS = 500.0  # the same for the total, after this machine ran out of file descriptors
 
 
 class Bounds:
-    """The bounds in force; ``total`` is that of all connections."""
+    """The bounds in force; ``total`` is the bound on all connections."""
 
-    def __init__(self, settings: Links, room: int, inventory: Inventory) -> None:
-        self.room, self.inventory = room, inventory
-        self.total_grown = 0.0
+    def __init__(self, settings: Links, capacity: int, inventory: Inventory) -> None:
+        self.capacity, self.inventory = capacity, inventory
+        self.total_changed_at = 0.0
         self.configure(settings)
 
     def configure(self, settings: Links) -> None:
-        """Take other settings over."""
-        self.per_box = settings.per_box
-        self.most = min(settings.total or self.room, self.room)
+        """Apply new settings."""
+        self.per_server = settings.per_box
+        self.most = min(settings.total or self.capacity, self.capacity)
         self.total = float(self.most)
 
-    def bound(self, now: float, box: Box) -> float:
-        """Give how many connections a box may have now; a bound that was cut grows by one a second."""
-        most = self.per_box
-        if box.bound < most and now - box.grown >= GROW_MS:
-            steps = int((now - box.grown) / GROW_MS)
-            box.bound, box.grown = min(float(most), box.bound + steps), box.grown + steps * GROW_MS
-        return box.bound
+    def bound(self, now: float, server: Box) -> float:
+        """Return how many connections a server may have now; a lowered bound grows by one per second."""
+        most = self.per_server
+        if server.bound < most and now - server.grown >= GROWTH_INTERVAL_MS:
+            steps = int((now - server.grown) / GROWTH_INTERVAL_MS)
+            server.bound, server.grown = (
+                min(float(most), server.bound + steps),
+                server.grown + steps * GROWTH_INTERVAL_MS,
+            )
+        return server.bound
 
     def total_bound(self, now: float) -> float:
-        """Give how many connections there may be in all."""
-        if self.total < self.most and now - self.total_grown >= TOTAL_GROW_MS:
-            steps = int((now - self.total_grown) / TOTAL_GROW_MS)
+        """Return how many connections there may be in total."""
+        if self.total < self.most and now - self.total_changed_at >= TOTAL_GROWTH_INTERVAL_MS:
+            steps = int((now - self.total_changed_at) / TOTAL_GROWTH_INTERVAL_MS)
             self.total = min(float(self.most), self.total + steps)
-            self.total_grown += steps * TOTAL_GROW_MS
+            self.total_changed_at += steps * TOTAL_GROWTH_INTERVAL_MS
         return self.total
 
-    def lower(self, now: float, box: Box, established: int) -> None:
-        """A box holds as many connections as it wants: lower the bound to fewer than it refused."""
-        box.bound = max(1.0, min(CUT * self.bound(now, box), float(max(1, established))))
-        box.grown = now
+    def lower(self, now: float, server: Box, established: int) -> None:
+        """Lower the bound of a server that accepts no more connections, to fewer than it refused."""
+        server.bound = max(1.0, min(REFUSAL_BACKOFF_FACTOR * self.bound(now, server), float(max(1, established))))
+        server.grown = now
         self.inventory.counts["bound.cut"] += 1
 
     def lower_total(self, now: float) -> None:
-        """Lower the bound of all connections to what there is, since this machine has no descriptor left."""
-        self.total, self.total_grown = max(1.0, min(self.total, float(self.inventory.open))), now
+        """Lower the total bound to the connections that exist, since this machine has no file descriptor left."""
+        self.total, self.total_changed_at = max(1.0, min(self.total, float(self.inventory.open))), now
--- a/petrelhall/links/limits.py
+++ b/petrelhall/links/limits.py
@@ -1,159 +1,189 @@
-"""How long a box keeps a connection that nobody uses: an estimate from what becomes of kept connections. Pure.
-
-A box closes idle connections at a time it does not tell. Three things are seen of it: a kept connection that
-serves at some idle time, one that breaks when used after some idle time (it had died by then), and one that is
-seen closing. Each is a trial of "dead by this idle time", whose chance can only rise with the time. Trials are
-counted by idle time in classes of a quarter doubling; the chance is their monotone regression (pooling adjacent
-violators), and connections are kept up to the first class whose chance is over what is tolerated. Counts fade,
-so that a limit that has grown is found again: a class that was left is tried anew once its deaths have faded.
+"""Estimates how long a server keeps idle connections open, from what happened to earlier ones. Pure.
+
+A server closes idle connections after a time that it does not announce. Three kinds of observation tell of that
+time: a kept connection that serves after some idle time, one that breaks when used after some idle time (it was dead
+by then), and one that is seen closing. Each is a trial of "dead by this idle time", whose probability can only rise
+with the time. Trials are counted in a histogram over idle time with four buckets per doubling. The probability is
+their monotone (isotonic) regression, computed by pooling adjacent violators, and connections are kept up to the first
+bucket whose probability exceeds the tolerance. Counts decay, so that a limit that has grown is found again: a bucket
+that is no longer used is tried again once its deaths have decayed.
 """
 
 from __future__ import annotations
 
 from array import array
 
-CLASSES = 72  # the last begins at 458 s
-FIRST_KNOWN = 8  # classes under this one (14 ms) are one block: what breaks there breaks for other reasons
-PRIOR = 4.0  # trials that nobody made, in which nothing died: keeps one death among few from being all
-CHANGE = 0.25  # weight left to older survivors of a time at which a connection was just found dead
-COMMON = 0.02  # share of uses that break anyway from which on a death tells nothing of older survivors
-SEED = 0.5  # deaths that a box new to us is held to have seen, from what was learned of the others
-FADE_TO = 40.0  # halvings after which the weights are scaled back, long before a float would overflow
-FLOOR_MS = 20.0  # kept for as long whatever was seen: no box closes sooner on purpose
+BUCKET_COUNT = 72  # the last bucket begins at 458 s
+# Buckets below this one (8 ms) are counted as one block: what breaks there breaks for reasons other than idling.
+FIRST_ESTIMATED_BUCKET = 8
+# Fictitious trials without a death, added to each block: one death among few trials does not dominate the estimate.
+PRIOR_TRIALS = 4.0
+# Weight left to survivals at idle times above one at which a connection was just found dead.
+SURVIVAL_RETENTION = 0.25
+# Share of uses that break for other reasons from which on a death says nothing about survivals at longer idle times.
+COMMON_BREAKAGE_SHARE = 0.02
+# Deaths that a new server is assumed to have seen, taken from what was learned of the other servers.
+FLEET_PRIOR_DEATHS = 0.5
+# Half-lives after which the weights are rescaled, long before a float would overflow.
+MAX_HALF_LIVES = 40.0
+# Connections are kept at least for this time, whatever was observed: no server closes sooner on purpose.
+MIN_IDLE_LIMIT_MS = 20.0
 NEVER = float("inf")
 
 
-def age_class(idle_ms: float) -> int:
-    """Give the class of an idle time: four for each doubling, one for each of the first milliseconds."""
-    whole = int(idle_ms)
-    if whole < 4:
-        return max(0, whole)
-    bits = whole.bit_length()
-    return min(CLASSES - 1, 4 * (bits - 2) + (whole >> (bits - 3) & 3))
+def bucket_index(idle_ms: float) -> int:
+    """Return the bucket of an idle time: four per doubling, and one for each of the first milliseconds."""
+    whole_ms = int(idle_ms)
+    if whole_ms < 4:
+        return max(0, whole_ms)
+    bits = whole_ms.bit_length()
+    return min(BUCKET_COUNT - 1, 4 * (bits - 2) + (whole_ms >> (bits - 3) & 3))
 
 
-def lower_edge(number: int) -> float:
-    """Give the idle time in ms at which a class begins."""
-    if number < 4:
-        return float(number)
-    return float((4 + number % 4) << (number // 4 - 1))
+def bucket_start_ms(bucket: int) -> float:
+    """Return the idle time in ms at which a bucket begins."""
+    if bucket < 4:
+        return float(bucket)
+    return float((4 + bucket % 4) << (bucket // 4 - 1))
 
 
 class SurvivalEstimate:
-    """What was seen of one box's kept connections, or of all boxes' together."""
-
-    __slots__ = ("half_ms", "origin", "alive", "dead", "fresh", "fresh_broken", "deaths")
-
-    def __init__(self, now: float, half_ms: float, prior: SurvivalEstimate | None = None) -> None:
-        self.half_ms, self.origin = half_ms, now
-        self.alive, self.dead = array("d", bytes(8 * CLASSES)), array("d", bytes(8 * CLASSES))
-        self.deaths = 0  # ever seen: while there is none, there is nothing to estimate
-        self.fresh = self.fresh_broken = 0.0  # uses of connections that never lay idle, and those that broke
+    """Observations of the kept connections of one server, or of all servers together."""
+
+    __slots__ = (
+        "half_life_ms",
+        "origin_ms",
+        "survivals",
+        "deaths",
+        "fresh_uses",
+        "fresh_breakages",
+        "death_count",
+    )
+
+    def __init__(self, now: float, half_life_ms: float, prior: SurvivalEstimate | None = None) -> None:
+        self.half_life_ms, self.origin_ms = half_life_ms, now
+        self.survivals, self.deaths = array("d", bytes(8 * BUCKET_COUNT)), array("d", bytes(8 * BUCKET_COUNT))
+        self.death_count = 0  # over all time, without decay: while it is 0, there is nothing to estimate
+        self.fresh_uses = self.fresh_breakages = 0.0  # uses of connections that were never idle, and those that broke
         if prior is not None:
             weight = prior.weight(now)
-            dead = sum(prior.dead) / weight
-            scale = min(1.0, SEED / dead) / weight if dead else 0.0
-            if dead:
-                self.scale(scale, prior)
-                self.deaths = 1
+            prior_deaths = sum(prior.deaths) / weight
+            factor = min(1.0, FLEET_PRIOR_DEATHS / prior_deaths) / weight if prior_deaths else 0.0
+            if prior_deaths:
+                self.copy_scaled(factor, prior)
+                self.death_count = 1
 
     def weight(self, now: float) -> float:
-        """Give the weight of a trial made now: later ones weigh more, which is as well as fading the earlier."""
-        halvings = (now - self.origin) / self.half_ms
-        if halvings > FADE_TO:
-            scale = 0.5**halvings
-            self.scale(scale, self)
-            self.fresh, self.fresh_broken, self.origin = scale * self.fresh, scale * self.fresh_broken, now
+        """Return the weight of a trial made now. Later trials weigh more, which is the same as decaying older ones."""
+        half_lives = (now - self.origin_ms) / self.half_life_ms
+        if half_lives > MAX_HALF_LIVES:
+            factor = 0.5**half_lives
+            self.copy_scaled(factor, self)
+            self.fresh_uses, self.fresh_breakages, self.origin_ms = (
+                factor * self.fresh_uses,
+                factor * self.fresh_breakages,
+                now,
+            )
             return 1.0
-        return float(2.0**halvings)
+        return float(2.0**half_lives)
 
-    def scale(self, factor: float, other: SurvivalEstimate) -> None:
-        """Take the counts of another, or its own, times a factor."""
-        self.alive = array("d", [factor * count for count in other.alive])
-        self.dead = array("d", [factor * count for count in other.dead])
+    def copy_scaled(self, factor: float, other: SurvivalEstimate) -> None:
+        """Replace the histograms by those of another estimate (or this one), multiplied by a factor."""
+        self.survivals = array("d", [factor * count for count in other.survivals])
+        self.deaths = array("d", [factor * count for count in other.deaths])
 
     def record_served(self, now: float, idle_ms: float) -> None:
-        """A connection served after lying idle for so long."""
-        self.alive[age_class(idle_ms)] += self.weight(now)
-
-    def broke(self, now: float, idle_ms: float) -> None:
-        """A connection was found dead after lying idle for so long; older survivors now tell less."""
-        number = age_class(idle_ms)
-        # Where connections break whatever their age, one that did is no sign of a limit that has changed.
-        kept = CHANGE + (1.0 - CHANGE) * min(1.0, self.baseline(now) / COMMON)
-        self.dead[number] += self.weight(now)
-        self.deaths += 1
-        for later in range(number, CLASSES):
-            self.alive[later] *= kept
-
-    def closed(self, now: float, idle_ms: float) -> None:
-        """A connection was seen closing at this idle time: it had lived until then."""
-        number = age_class(idle_ms)
-        if number > 0:
-            self.alive[number - 1] += self.weight(now)
-        self.broke(now, idle_ms)
+        """Record that a connection served a request after this idle time."""
+        self.survivals[bucket_index(idle_ms)] += self.weight(now)
+
+    def record_broken(self, now: float, idle_ms: float) -> None:
+        """Record that a connection was found dead after this idle time; survivals of longer times lose weight."""
+        bucket = bucket_index(idle_ms)
+        # Where connections break at any age, a broken one is no sign that the limit has changed.
+        retained = SURVIVAL_RETENTION + (1.0 - SURVIVAL_RETENTION) * min(
+            1.0, self.baseline(now) / COMMON_BREAKAGE_SHARE
+        )
+        self.deaths[bucket] += self.weight(now)
+        self.death_count += 1
+        for later in range(bucket, BUCKET_COUNT):
+            self.survivals[later] *= retained
+
+    def record_closed(self, now: float, idle_ms: float) -> None:
+        """Record that a connection was seen closing at this idle time: it had survived until then."""
+        bucket = bucket_index(idle_ms)
+        if bucket > 0:
+            self.survivals[bucket - 1] += self.weight(now)
+        self.record_broken(now, idle_ms)
 
     def record_fresh_use(self, now: float, broke: bool) -> None:
-        """A connection that never lay idle served, or broke: what breaks there is no idle limit's doing."""
+        """Record the use of a connection that was never idle. If it broke, no idle limit was the cause."""
         weight = self.weight(now)
-        self.fresh += weight
-        self.fresh_broken += weight * broke
+        self.fresh_uses += weight
+        self.fresh_breakages += weight * broke
 
     def baseline(self, now: float) -> float:
-        """Give the share of uses that break for other reasons than lying idle."""
+        """Return the share of uses that break for reasons other than idling."""
         weight = self.weight(now)
-        dead = self.fresh_broken + sum(self.dead[:FIRST_KNOWN])
-        uses = self.fresh + sum(self.dead[:FIRST_KNOWN]) + sum(self.alive[:FIRST_KNOWN])
-        return dead / (uses + PRIOR * weight)
+        broken = self.fresh_breakages + sum(self.deaths[:FIRST_ESTIMATED_BUCKET])
+        uses = (
+            self.fresh_uses + sum(self.deaths[:FIRST_ESTIMATED_BUCKET]) + sum(self.survivals[:FIRST_ESTIMATED_BUCKET])
+        )
+        return broken / (uses + PRIOR_TRIALS * weight)
 
-    def limit(self, now: float, tolerance: float, bold: bool = True) -> float:
-        """Give the idle time in ms up to which connections are worth keeping; NEVER where nothing speaks against.
+    def idle_limit_ms(self, now: float, tolerance: float, explore: bool = True) -> float:
+        """Return the idle time in ms up to which connections are worth keeping, NEVER if nothing suggests a limit.
 
-        The chance to break, over the baseline, stays within the tolerance up to there. Between the last time
-        that was survived and the first at which one was found dead nothing is known: the ``bold`` go half the
-        way by classes, which closes in on the limit at the price of few deaths, the others none of it.
+        Up to that time the probability to break, beyond the baseline, stays within the tolerance. Nothing is known
+        between the longest idle time that was survived and the shortest at which a connection was found dead. With
+        ``explore`` the result lies half-way between them, counted in buckets, which approaches the limit at the cost
+        of few deaths; without it the result stays at the time that was survived.
         """
-        if not self.deaths:
+        if not self.death_count:
             return NEVER
         weight = self.weight(now)
-        bound = tolerance + 1.5 * self.baseline(now)
-        blocks: list[list[float]] = []  # deaths, trials, first class, last class; chances rise from block to block
-        for number in range(FIRST_KNOWN, CLASSES):
-            deaths = self.dead[number]
-            trials = deaths + self.alive[number]
+        max_death_share = tolerance + 1.5 * self.baseline(now)
+        # Each block: deaths, trials, first bucket, last bucket; the share of deaths rises from block to block.
+        blocks: list[list[float]] = []
+        for bucket in range(FIRST_ESTIMATED_BUCKET, BUCKET_COUNT):
+            deaths = self.deaths[bucket]
+            trials = deaths + self.survivals[bucket]
             if trials <= 1e-6 * weight:
                 continue
-            blocks.append([deaths, trials, number, number])
+            blocks.append([deaths, trials, bucket, bucket])
             while len(blocks) > 1 and blocks[-2][0] * blocks[-1][1] >= blocks[-1][0] * blocks[-2][1]:
                 last = blocks.pop()
                 blocks[-1] = [blocks[-1][0] + last[0], blocks[-1][1] + last[1], blocks[-1][2], last[3]]
-        kept = 0  # the class after the last that was survived
-        for deaths, trials, first, last_class in blocks:
-            if deaths / (trials + PRIOR * weight) > bound:
-                if not kept:  # nothing was survived below: half of the shortest time at which one was dead
-                    return max(FLOOR_MS, lower_edge(int(first)) / 2.0)
-                return max(FLOOR_MS, lower_edge((kept + int(first) * bold) // (1 + bold)))
-            kept = int(last_class) + 1
+        survived_end = 0  # the bucket after the last that was survived
+        for deaths, trials, first_bucket, last_bucket in blocks:
+            if deaths / (trials + PRIOR_TRIALS * weight) > max_death_share:
+                if not survived_end:  # no survivals below: half of the shortest idle time at which one was dead
+                    return max(MIN_IDLE_LIMIT_MS, bucket_start_ms(int(first_bucket)) / 2.0)
+                return max(
+                    MIN_IDLE_LIMIT_MS, bucket_start_ms((survived_end + int(first_bucket) * explore) // (1 + explore))
+                )
+            survived_end = int(last_bucket) + 1
         return NEVER
 
-    def survived(self, now: float) -> float:
-        """Give the longest idle time that was lately survived, 0 where none was."""
-        least = 0.1 * self.weight(now)
-        for number in range(CLASSES - 1, -1, -1):
-            if self.alive[number] > least:
-                return lower_edge(number)
+    def longest_survived_ms(self, now: float) -> float:
+        """Return the longest idle time that was recently survived, 0 if none was."""
+        min_weight = 0.1 * self.weight(now)
+        for bucket in range(BUCKET_COUNT - 1, -1, -1):
+            if self.survivals[bucket] > min_weight:
+                return bucket_start_ms(bucket)
         return 0.0
 
     def limit_bounds_ms(self, now: float) -> tuple[float, float]:
-        """Give what the limit is known to lie between: longest time survived, shortest at which one was dead."""
-        least = 0.1 * self.weight(now)
-        dead = [number for number in range(FIRST_KNOWN, CLASSES) if self.dead[number] > least]
-        high = lower_edge(dead[0] + 1) if dead and dead[0] + 1 < CLASSES else NEVER
+        """Return the bounds of the limit: longest idle time survived, and shortest at which one was found dead."""
+        min_weight = 0.1 * self.weight(now)
+        dead_buckets = [
+            bucket for bucket in range(FIRST_ESTIMATED_BUCKET, BUCKET_COUNT) if self.deaths[bucket] > min_weight
+        ]
+        high = bucket_start_ms(dead_buckets[0] + 1) if dead_buckets and dead_buckets[0] + 1 < BUCKET_COUNT else NEVER
         low = max(
             (
-                lower_edge(number)
-                for number in range(CLASSES)
-                if self.alive[number] > least and lower_edge(number) < high
+                bucket_start_ms(bucket)
+                for bucket in range(BUCKET_COUNT)
+                if self.survivals[bucket] > min_weight and bucket_start_ms(bucket) < high
             ),
             default=0.0,
         )
--- a/petrelhall/links/opening.py
+++ b/petrelhall/links/opening.py
@@ -1,4 +1,4 @@
-"""Whether a connection to a server may be opened now, and which are opened ahead of need. Pure."""
+"""Decides whether a connection to a server may be opened now, and which are opened before they are needed. Pure."""
 
 from __future__ import annotations
 
@@ -11,14 +11,19 @@
 from petrelhall.links.slow_start import SlowStart
 from petrelhall.operator.settings import Links
 
-WORTH_MS = 200.0  # connections die sooner than this: none is opened ahead
-PAUSE_MS, PAUSE_MOST_MS = 2000.0, 120000.0  # without opening ahead after one was opened for nothing
-SPREAD = 0.2  # of an age or a count of uses at which connections are retired: not all at once
-RETRY_MS = 15.0  # in which a request without a connection asks again, though nothing woke it
+# No connection is preconnected to a server that closes idle ones sooner than this.
+MIN_PRECONNECT_LIFETIME_MS = 200.0
+# Pause in preconnecting after a preconnected connection was never used; it doubles each time, up to the maximum.
+PRECONNECT_PAUSE_MS = 2000.0
+MAX_PRECONNECT_PAUSE_MS = 120000.0
+# Share by which the age or use count at which a connection is retired varies, so that not all retire at once.
+RETIREMENT_JITTER = 0.2
+# Time after which a request without a connection asks again, even if no connection has come free.
+WAIT_RETRY_MS = 15.0
 
 
 class ConnectionOpener:
-    """Begins connections, within the bounds and at the pace of a server's slow start."""
+    """Starts new connections, within the bounds and at the rate that a server's slow start allows."""
 
     def __init__(
         self, settings: Links, inventory: Inventory, bounds: Bounds, slow_start: SlowStart, draw: random.Random
@@ -26,42 +31,46 @@
         self.settings, self.inventory, self.bounds, self.slow_start = settings, inventory, bounds, slow_start
         self.random = draw
 
-    def required_wait(self, now: float, box: Box) -> Wait | None:
-        """Say why no connection to a box may be opened now, if so; makes room where that can be had."""
-        if box.open + 1 > self.bounds.bound(now, box):
-            while box.idle and box.open + 1 > box.bound:  # idle, and yet not to be used: by this request at least
-                self.inventory.retire(box.idle[0], "bound")
-            if box.open + 1 > box.bound:
-                return Wait(RETRY_MS, "box_bound")
-        if box.opening >= self.settings.opening_per_box or self.inventory.opening >= self.settings.opening:
-            return Wait(RETRY_MS, "opening")
-        if self.slow_start.cold(now, box):
-            if box.opening >= self.settings.cold.at_once:
-                return Wait(RETRY_MS, "cold")
-            rate = self.slow_start.fill(now, box)
-            if box.tokens < 1.0:
-                return Wait(max(1.0, 1000.0 * (1.0 - box.tokens) / rate), "cold")
+    def required_wait(self, now: float, server: Box) -> Wait | None:
+        """Return how long and why no connection to a server may be opened, or None if one may be opened now.
+
+        Retires idle connections where that brings the count below a bound.
+        """
+        if server.open + 1 > self.bounds.bound(now, server):
+            # Connections that are idle here cannot be used, at least not by this request.
+            while server.idle and server.open + 1 > server.bound:
+                self.inventory.retire(server.idle[0], "bound")
+            if server.open + 1 > server.bound:
+                return Wait(WAIT_RETRY_MS, "box_bound")
+        if server.opening >= self.settings.opening_per_box or self.inventory.opening >= self.settings.opening:
+            return Wait(WAIT_RETRY_MS, "opening")
+        if self.slow_start.cold(now, server):
+            if server.opening >= self.settings.cold.at_once:
+                return Wait(WAIT_RETRY_MS, "cold")
+            rate = self.slow_start.refill(now, server)
+            if server.tokens < 1.0:
+                return Wait(max(1.0, 1000.0 * (1.0 - server.tokens) / rate), "cold")
         if self.inventory.open + 1 > self.bounds.total_bound(now):
             oldest = next(iter(self.inventory.idle), None)
             if oldest is not None:
                 self.inventory.retire(oldest, "room")
             if self.inventory.open + 1 > self.bounds.total:
-                return Wait(RETRY_MS, "total")
+                return Wait(WAIT_RETRY_MS, "total")
         return None
 
-    def begin(self, now: float, box: Box, ahead: bool) -> Link:
-        """Count a connection that the shell now begins to open."""
+    def begin(self, now: float, server: Box, preconnected: bool) -> Link:
+        """Count a new connection, which the connection pool now starts to open."""
         inventory = self.inventory
-        link = Link(box, now, ahead)
-        box.opening += 1
+        link = Link(server, now, preconnected)
+        server.opening += 1
         inventory.opening += 1
         inventory.open += 1
-        box.opens += 1
-        if self.slow_start.cold(now, box):
-            box.tokens -= 1.0
+        server.opens += 1
+        if self.slow_start.cold(now, server):
+            server.tokens -= 1.0
             inventory.counts["opened.cold"] += 1
-        box.most = max(box.most, box.open)
-        inventory.counts["opened.ahead" if ahead else "opened.needed"] += 1
+        server.most = max(server.most, server.open)
+        inventory.counts["opened.ahead" if preconnected else "opened.needed"] += 1
         if self.settings.max_age_s:
             link.until = now + 1000.0 * self.settings.max_age_s * self.jitter()
         if self.settings.max_uses:
@@ -69,25 +78,33 @@
         return link
 
     def jitter(self) -> float:
-        """Give a factor about one."""
-        return 1.0 + SPREAD * (2.0 * self.random.random() - 1.0)
+        """Return a random factor close to 1."""
+        return 1.0 + RETIREMENT_JITTER * (2.0 * self.random.random() - 1.0)
 
-    def preconnect(self, now: float, box: Box, ahead: list[Link]) -> None:
-        """Open a spare beyond a box's recent use, where requests had to wait for new connections."""
-        if now < box.ahead_from or box.dead_at or box.kept_ms < WORTH_MS or self.slow_start.cold(now, box):
-            return
-        wanted = max(box.peak, box.last_peak) + self.settings.ahead
-        if box.open + 1 > min(wanted, self.bounds.bound(now, box)) or self.inventory.open + 1 > self.bounds.total_bound(
-            now
+    def preconnect(self, now: float, server: Box, preconnected: list[Link]) -> None:
+        """Open one spare connection beyond a server's recent use, where requests had to wait for new connections.
+
+        A connection that is opened is appended to ``preconnected``.
+        """
+        if (
+            now < server.ahead_from
+            or server.dead_at
+            or server.kept_ms < MIN_PRECONNECT_LIFETIME_MS
+            or self.slow_start.cold(now, server)
         ):
             return
-        if self.required_wait(now, box) is None:
-            ahead.append(self.begin(now, box, True))
+        wanted = max(server.peak, server.last_peak) + self.settings.ahead
+        if server.open + 1 > min(
+            wanted, self.bounds.bound(now, server)
+        ) or self.inventory.open + 1 > self.bounds.total_bound(now):
+            return
+        if self.required_wait(now, server) is None:
+            preconnected.append(self.begin(now, server, True))
 
     def record_unused(self, now: float, link: Link) -> None:
-        """Learn from a connection that was opened ahead and never used: pause, longer each time."""
+        """Record a connection that ended; if it was preconnected and never used, pause, longer each time."""
         if link.ahead and not link.uses:
-            box = link.box
-            box.ahead_from = now + min(PAUSE_MOST_MS, PAUSE_MS * 2.0 ** min(10, box.wasted))
-            box.wasted += 1
+            server = link.box
+            server.ahead_from = now + min(MAX_PRECONNECT_PAUSE_MS, PRECONNECT_PAUSE_MS * 2.0 ** min(10, server.wasted))
+            server.wasted += 1
             self.inventory.counts["ahead.wasted"] += 1
--- a/petrelhall/links/reuse.py
+++ b/petrelhall/links/reuse.py
@@ -1,4 +1,4 @@
-"""Which idle connection of a server a request goes on. Pure."""
+"""Chooses the idle connection of a server that a request is sent on. Pure."""
 
 from __future__ import annotations
 
@@ -9,74 +9,82 @@
 from petrelhall.links.server import Box
 from petrelhall.links.staleness import StalenessTracker
 
-ESTIMATE_MAX_AGE_MS = 1000.0  # between two looks at what a server's kept connections have shown, unless one died
-REFRESH = 0.5  # share of its allowed idle time after which a connection that is still needed is used first
-# A connection rests for so long between an answer and the next request. A server may send a second copy of its answer
-# some milliseconds late: what comes after the next request was written would be taken for that one's answer.
+# A server's idle limits are computed again after this time, or at once after a connection was found dead.
+ESTIMATE_MAX_AGE_MS = 1000.0
+# Share of the allowed idle time after which a connection that is still needed is used before the others.
+REFRESH_SHARE = 0.5
+# Time between an answer and the next request on the same connection. A server may send a second copy of its answer
+# some milliseconds late; if the next request was already written, the copy would be taken for the answer to that one.
 REUSE_DELAY_MS = 20.0
-RESTS = 5  # requests in a window that wait for that at one server; beyond them it has too few connections for its use
+# Requests to one server in a window that wait for the reuse delay; if there are more, the server has too few
+# connections for its load and another one is opened.
+MAX_REUSE_WAITS = 5
 
 
 class ReusePolicy:
-    """The choice among idle connections, in the operators' ``order``."""
+    """Selects among idle connections in the configured ``order``."""
 
     def __init__(self, order: str, inventory: Inventory, staleness: StalenessTracker) -> None:
         self.order, self.inventory, self.staleness = order, inventory, staleness
 
-    def pick(self, now: float, box: Box, free: bool) -> Link | None:
-        """Choose among a box's idle connections; those that are not to be used again are retired on the way."""
-        if now - box.looked > ESTIMATE_MAX_AGE_MS:
-            self.staleness.refresh_limits(now, box)
-        kept = min(box.kept_ms, box.hold_ms)
-        while box.idle and now - box.idle[0].idle_since >= kept:  # the longest idle come first
-            self.inventory.retire(box.idle[0], "idle")
-        if not box.idle:
+    def pick(self, now: float, server: Box, repeatable: bool) -> Link | None:
+        """Return an idle connection to a server, or None; retires those that must not be used again.
+
+        ``repeatable`` says that running the request twice does no harm, so that a connection which may be dead is
+        acceptable.
+        """
+        if now - server.looked > ESTIMATE_MAX_AGE_MS:
+            self.staleness.refresh_limits(now, server)
+        max_idle_ms = min(server.kept_ms, server.hold_ms)
+        while server.idle and now - server.idle[0].idle_since >= max_idle_ms:  # sorted by idle time, longest first
+            self.inventory.retire(server.idle[0], "idle")
+        if not server.idle:
             return None
-        sure = kept if free else min(kept, box.sure_ms)
+        safe_idle_ms = max_idle_ms if repeatable else min(max_idle_ms, server.sure_ms)
         order = self.order
         if order == "last_used":
-            # One that will be wanted again, since as many were in use just now, is used before it grows too old:
-            # left to die it would only have to be opened anew.
-            oldest = box.idle[0]
-            age = now - oldest.idle_since
+            # A connection will be needed again if as many were in use recently. It is used before it grows too old,
+            # since otherwise it would die and a new one would have to be opened.
+            oldest = server.idle[0]
+            idle_ms = now - oldest.idle_since
             if (
-                age > REFRESH * kept
-                and age < sure
-                and box.open <= max(box.peak, box.last_peak)
+                idle_ms > REFRESH_SHARE * max_idle_ms
+                and idle_ms < safe_idle_ms
+                and server.open <= max(server.peak, server.last_peak)
                 and now < oldest.until
-                and oldest.idle_since >= box.doubt
+                and oldest.idle_since >= server.doubt
             ):
                 return oldest
-            candidates: Iterable[Link] = reversed(box.idle)
+            candidates: Iterable[Link] = reversed(server.idle)
         elif order == "oldest":
-            candidates = sorted(box.idle, key=lambda link: link.opened)
+            candidates = sorted(server.idle, key=lambda link: link.opened)
         else:
-            candidates = sorted(box.idle, key=lambda link: link.uses)
+            candidates = sorted(server.idle, key=lambda link: link.uses)
         for link in candidates:
             if link.uses and now - link.idle_since < REUSE_DELAY_MS:
                 continue
             if now >= link.until:
                 self.inventory.retire(link, "age")
-                return self.pick(now, box, free)
-            if now - link.idle_since >= sure:
+                return self.pick(now, server, repeatable)
+            if now - link.idle_since >= safe_idle_ms:
                 if order == "last_used":
-                    return None  # all others have been idle for longer
+                    return None  # all remaining candidates have been idle for longer
                 continue
-            link.tried = link.idle_since < box.doubt
+            link.tried = link.idle_since < server.doubt
             if link.tried:
-                if not free or box.trying:
+                if not repeatable or server.trying:
                     continue
-                box.trying = True
+                server.trying = True
             return link
         return None
 
-    def reuse_delay_left_ms(self, now: float, box: Box, wait_ms: float) -> float:
-        """Give the ms after which a box's latest answered connection may be used, 0 where none is worth waiting for.
+    def reuse_delay_left_ms(self, now: float, server: Box, wait_ms: float) -> float:
+        """Return the ms until a server's last used connection may be reused, 0 if that is not worth waiting for.
 
-        A new connection costs its box work and takes longer than that; nor is the resting one to be closed for it.
-        Where that happens often, another is opened, once, and then one that has rested is there. ``wait_ms`` is how
-        long a request may wait for a connection.
+        Opening a connection costs the server work and takes longer than the delay, and the waiting connection should
+        not be closed to make way for a new one. If requests often wait for the delay, one more connection is opened,
+        and then one is there whose delay is over. ``wait_ms`` is how long a request may wait for a connection.
         """
-        left = REUSE_DELAY_MS - (now - box.idle[-1].idle_since) if box.idle and box.idle[-1].uses else 0.0
-        often = box.rests >= RESTS and box.open + 1 <= box.bound
+        left = REUSE_DELAY_MS - (now - server.idle[-1].idle_since) if server.idle and server.idle[-1].uses else 0.0
+        often = server.rests >= MAX_REUSE_WAITS and server.open + 1 <= server.bound
         return max(1.0, left) if 0.0 < left and wait_ms > REUSE_DELAY_MS and not often else 0.0
--- a/petrelhall/links/slow_start.py
+++ b/petrelhall/links/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: a server that has just started gets its first connections at a pace, and not from all at once. Pure."""
+"""Slow start: limits the rate at which connections to a recently started server are opened. Pure."""
 
 from __future__ import annotations
 
@@ -8,39 +8,42 @@
 from petrelhall.links.server import Box
 from petrelhall.operator.settings import Cold, Links
 
-UNTOLD_MS = 10000.0  # for which a started server is cold, where neither platform nor operators say
-RAMP = 8.0  # pace of opening to a server that is nearly warm, over that to a cold one
+# Time for which a started server is cold, where neither the platform nor the operators specify it.
+DEFAULT_COLD_MS = 10000.0
+# Rate of opening connections to a server that is nearly warm, relative to the rate for a cold one.
+WARM_RATE_FACTOR = 8.0
 
 
 class SlowStart:
-    """The pace at which connections to cold servers may be opened, as a token bucket for each server."""
+    """The rate at which connections to cold servers may be opened, as a token bucket for each server."""
 
     def __init__(self, settings: Links, platform_cold_ms: float, gateways: int, draw: random.Random) -> None:
         self.platform_cold_ms, self.gateways, self.random = platform_cold_ms, gateways, draw
         self.configure(settings)
 
     def configure(self, settings: Links) -> None:
-        """Take other settings over."""
+        """Apply new settings."""
         self.settings: Cold = settings.cold
-        self.cold_ms = settings.cold.ms or self.platform_cold_ms or UNTOLD_MS
-
-    def begin(self, now: float, box: Box, since: float) -> None:
-        """A box has just started: its first connections come at a pace, and not from all gateways at once."""
-        box.since = since
-        if self.cold(now, box):
-            # Spread over the time in which the pace gives each gateway one.
-            box.tokens = 1.0 - self.random.random() * (1.0 if self.gateways > 1 else 0.0)
-            box.tokens_at = now
-            box.warm_at = NEVER
-
-    def cold(self, now: float, box: Box) -> bool:
-        """Tell whether a box is still warming up."""
-        return bool(box.since) and now - box.since < self.cold_ms
-
-    def fill(self, now: float, box: Box) -> float:
-        """Bring a cold box's tokens up to date, and give this gateway's pace in connections a second."""
-        warmth = min(1.0, max(0.0, (now - box.since) / self.cold_ms))
-        rate = self.settings.per_s * (1.0 + (RAMP - 1.0) * warmth) / self.gateways
-        box.tokens = min(1.0, box.tokens + rate * (now - box.tokens_at) / 1000.0)
-        box.tokens_at = now
+        self.cold_ms = settings.cold.ms or self.platform_cold_ms or DEFAULT_COLD_MS
+
+    def begin(self, now: float, server: Box, since: float) -> None:
+        """Start the slow start of a server that has just started, at a different moment on each gateway."""
+        server.since = since
+        if self.cold(now, server):
+            # With several gateways the first token is delayed by a random part of the time in which the rate gives
+            # each gateway one connection, so that they do not all connect at once.
+            server.tokens = 1.0 - self.random.random() * (1.0 if self.gateways > 1 else 0.0)
+            server.tokens_at = now
+            server.warm_at = NEVER
+
+    def cold(self, now: float, server: Box) -> bool:
+        """Return whether a server is still warming up."""
+        return bool(server.since) and now - server.since < self.cold_ms
+
+    def refill(self, now: float, server: Box) -> float:
+        """Refill the token bucket of a cold server and return this gateway's rate in connections per second."""
+        warmth = min(1.0, max(0.0, (now - server.since) / self.cold_ms))
+        rate = self.settings.per_s * (1.0 + (WARM_RATE_FACTOR - 1.0) * warmth) / self.gateways
+        server.tokens = min(1.0, server.tokens + rate * (now - server.tokens_at) / 1000.0)
+        server.tokens_at = now
         return rate
--- a/petrelhall/links/staleness.py
+++ b/petrelhall/links/staleness.py
@@ -1,21 +1,25 @@
-"""How long a server's idle connections are worth using, learned from those that were found closed. Pure."""
+"""Learns from connections found closed how long a server's idle connections may be used. Pure."""
 
 from __future__ import annotations
 
 from petrelhall.links.inventory import Inventory
-from petrelhall.links.limits import FLOOR_MS, NEVER, SurvivalEstimate
+from petrelhall.links.limits import MIN_IDLE_LIMIT_MS, NEVER, SurvivalEstimate
 from petrelhall.links.server import Box
 from petrelhall.links.slow_start import SlowStart
 from petrelhall.operator.settings import Links
 
-IDLE_SHARE = 0.8  # of the platform's limit on idle connections that is used
-ALL_AT_ONCE = 3  # connections that end together, with none left, are their server's end
-DEATH_SPAN_MS = 150.0  # deaths of one server are looked at together: a server that ends takes all its connections along
-ALIKE = 1.3  # idle times within this ratio died of one limit
+# Share of the known idle limit (the platform's, or the one that a server announces) that is used.
+IDLE_LIMIT_SHARE = 0.8
+# If at least so many connections end together and none is left, the server itself has ended.
+MIN_ENDS_OF_SERVER = 3
+# Deaths of one server within this time are evaluated together: a server that ends takes all its connections along.
+DEATH_SPAN_MS = 150.0
+# Idle times whose ratio is at most this are attributed to the same idle limit.
+SAME_LIMIT_RATIO = 1.3
 
 
 class StalenessTracker:
-    """What becomes of kept connections, for each server and, as a prior for new ones, for all together."""
+    """Tracks the fate of kept connections, for each server and for all together as a prior for new servers."""
 
     def __init__(self, settings: Links, platform_idle_ms: float, inventory: Inventory, slow_start: SlowStart) -> None:
         self.platform_idle_ms, self.inventory, self.slow_start = platform_idle_ms, inventory, slow_start
@@ -23,68 +27,77 @@
         self.configure(settings)
 
     def configure(self, settings: Links) -> None:
-        """Take other settings over."""
+        """Apply new settings."""
         self.settings = settings.stale
-        self.idle_ms = settings.stale.idle_ms or IDLE_SHARE * self.platform_idle_ms
+        self.idle_ms = settings.stale.idle_ms or IDLE_LIMIT_SHARE * self.platform_idle_ms
 
     def initial_estimate(self, now: float) -> SurvivalEstimate:
-        """Give what is held of a server that has shown nothing yet."""
+        """Return the estimate for a server of which nothing has been observed yet."""
         half_life_ms = self.settings.half_life_s * 1000.0
         if self.fleet is None:
             self.fleet = SurvivalEstimate(now, half_life_ms)
         return SurvivalEstimate(now, half_life_ms, self.fleet)
 
-    def refresh_limits(self, now: float, box: Box) -> None:
-        """Draw the line anew between connections that are worth using and those that are not."""
-        box.looked = now
-        if box.survived and self.fleet is not None:  # the longest since the last look: the prior needs no more
-            self.fleet.record_served(now, box.survived)
-            box.survived = 0.0
+    def refresh_limits(self, now: float, server: Box) -> None:
+        """Compute again up to which idle time a server's connections are kept, and up to which they are safe."""
+        server.looked = now
+        # Only the longest idle time survived since the last refresh is recorded for the fleet: enough for the prior.
+        if server.survived and self.fleet is not None:
+            self.fleet.record_served(now, server.survived)
+            server.survived = 0.0
         tolerance = self.settings.tolerance
-        told = min(self.idle_ms, IDLE_SHARE * box.hint_ms)
-        box.kept_ms = min(told, box.survival.limit(now, tolerance))
-        # Unharmed uses at some idle time are what a request needs whose repeat is not free.
-        sure = box.survival.limit(now, 0.1 * tolerance, bold=False)
-        box.sure_ms = min(sure, max(self.settings.proven_ms, box.survival.survived(now)))
+        configured_ms = min(self.idle_ms, IDLE_LIMIT_SHARE * server.hint_ms)
+        server.kept_ms = min(configured_ms, server.survival.idle_limit_ms(now, tolerance))
+        # A request that must not run twice only uses connections whose idle time others have survived.
+        safe_ms = server.survival.idle_limit_ms(now, 0.1 * tolerance, explore=False)
+        server.sure_ms = min(safe_ms, max(self.settings.proven_ms, server.survival.longest_survived_ms(now)))
 
-    def record_death(self, now: float, box: Box, idle_ms: float, seen: bool) -> None:
-        """Keep a death until it can be told whether the whole box ended; meanwhile none as old is used."""
-        box.deaths.append((now, idle_ms, seen))
-        box.hold_ms = min(box.hold_ms, max(FLOOR_MS, idle_ms))
+    def record_death(self, now: float, server: Box, idle_ms: float, seen_closing: bool) -> None:
+        """Store a death until it is clear whether the whole server ended.
 
-    def detect_server_end(self, now: float, box: Box, left: int) -> bool:
-        """Tell whether a box itself has ended, now that another connection did and so many are left.
+        Until then, no connection that has been idle as long is used.
+        """
+        server.deaths.append((now, idle_ms, seen_closing))
+        server.hold_ms = min(server.hold_ms, max(MIN_IDLE_LIMIT_MS, idle_ms))
+
+    def detect_server_end(self, now: float, server: Box, left: int) -> bool:
+        """Return whether a server itself has ended, now that another connection ended and ``left`` remain.
 
-        What is there when it is back, or in its place, is cold, however late the list says so; and its
-        connections tell nothing of how long it keeps idle ones.
+        The server that comes back, or the one that replaces it, is cold, even before discovery lists its start. The
+        ended connections say nothing about how long the server keeps idle ones.
         """
-        if now - box.ends_at > DEATH_SPAN_MS:
-            box.ends, box.ends_at = 0, now
-        box.ends += 1
-        if left or box.ends < ALL_AT_ONCE:
+        if now - server.ends_at > DEATH_SPAN_MS:
+            server.ends, server.ends_at = 0, now
+        server.ends += 1
+        if left or server.ends < MIN_ENDS_OF_SERVER:
             return False
         self.inventory.counts["boxes.ended"] += 1
-        box.deaths.clear()
-        box.hold_ms = NEVER
-        self.slow_start.begin(now, box, now)
+        server.deaths.clear()
+        server.hold_ms = NEVER
+        self.slow_start.begin(now, server, now)
         return True
 
-    def evaluate_deaths(self, now: float, box: Box) -> None:
-        """Learn from deaths that came together: of one idle limit, or of the box's own end."""
-        ages = [max(1.0, idle_ms) for _, idle_ms, _ in box.deaths]
-        whole = len(ages) > 2 and max(ages) > ALIKE * min(ages) and box.deaths[-1][0] - box.deaths[0][0] < DEATH_SPAN_MS
-        if whole and now - box.answered > DEATH_SPAN_MS:  # all at once, of whatever age, and nothing since
-            self.inventory.counts["deaths.of_box"] += len(ages)
+    def evaluate_deaths(self, now: float, server: Box) -> None:
+        """Learn from deaths that came together: caused by one idle limit, or by the end of the server."""
+        idle_times_ms = [max(1.0, idle_ms) for _, idle_ms, _ in server.deaths]
+        all_ages = (
+            len(idle_times_ms) > 2
+            and max(idle_times_ms) > SAME_LIMIT_RATIO * min(idle_times_ms)
+            and server.deaths[-1][0] - server.deaths[0][0] < DEATH_SPAN_MS
+        )
+        # The server ended if connections of different idle times died together and it has not answered since.
+        if all_ages and now - server.answered > DEATH_SPAN_MS:
+            self.inventory.counts["deaths.of_box"] += len(idle_times_ms)
         else:
-            for when, idle_ms, seen in box.deaths:
-                (box.survival.closed if seen else box.survival.broke)(when, idle_ms)
+            for when, idle_ms, seen_closing in server.deaths:
+                (server.survival.record_closed if seen_closing else server.survival.record_broken)(when, idle_ms)
                 if self.fleet is not None:
-                    (self.fleet.closed if seen else self.fleet.broke)(when, idle_ms)
-        box.deaths.clear()
-        box.hold_ms = NEVER
-        box.looked = -NEVER
+                    (self.fleet.record_closed if seen_closing else self.fleet.record_broken)(when, idle_ms)
+        server.deaths.clear()
+        server.hold_ms = NEVER
+        server.looked = -NEVER
 
-    def retire_suspected(self, box: Box) -> None:
-        """One of the connections in doubt proved dead: so, as far as can be told, are the others."""
-        while box.idle and box.idle[0].idle_since < box.doubt:
-            self.inventory.retire(box.idle[0], "doubt")
+    def retire_suspected(self, server: Box) -> None:
+        """Retire all suspected connections of a server after one of them proved dead: the others probably are too."""
+        while server.idle and server.idle[0].idle_since < server.doubt:
+            self.inventory.retire(server.idle[0], "doubt")
