--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,7 @@
-"""Tests that fail for a known fault: KNOWN-RED.txt at the root names them, one line each, three at most.
+"""Marks tests with known failures: KNOWN-RED.txt at the repository root lists them, three lines at most.
 
-A line is ``test id: cause, issue``. Such a test must go on failing (strict): one that passes again is an error until
-its line is out, and so is a line that names no test. The lines are printed at the end of each run.
+A line is ``test id: cause, issue``. A listed test becomes a strict expected failure: if it passes, the run fails until
+its line is removed. A line that names no test is an error too. The lines are printed at the end of each run.
 """
 
 from __future__ import annotations
@@ -10,44 +10,47 @@
 
 import pytest
 
-MOST = 3
-NAME = "KNOWN-RED.txt"
-LINES = pytest.StashKey[list[tuple[str, str]]]()
+MAX_KNOWN_FAILURES = 3
+KNOWN_FAILURES_FILE = "KNOWN-RED.txt"
+KNOWN_FAILURES_KEY = pytest.StashKey[list[tuple[str, str]]]()
 
 
-def read(text: str) -> list[tuple[str, str]]:
-    """Read the lines as (test id, cause); a line without a cause, a repeated one or one too many is an error."""
+def parse_known_failures(text: str) -> list[tuple[str, str]]:
+    """Parse the lines into (test id, cause); a line without a cause, a repeated test or too many lines is an error."""
     lines = [line for line in text.splitlines() if line.strip()]
-    found = [(test.strip(), cause.strip()) for test, _, cause in (line.partition(": ") for line in lines)]
-    for test, cause in found:
+    known_failures = [(test.strip(), cause.strip()) for test, _, cause in (line.partition(": ") for line in lines)]
+    for test, cause in known_failures:
         if "::" not in test or not cause:
-            raise pytest.UsageError(f"{NAME}: {test!r}: a line is 'test id: cause, issue'")
-    if len(dict(found)) != len(found) or len(found) > MOST:
-        raise pytest.UsageError(f"{NAME}: each test once, and {MOST} lines at most")
-    return found
+            raise pytest.UsageError(f"{KNOWN_FAILURES_FILE}: {test!r}: a line is 'test id: cause, issue'")
+    if len(dict(known_failures)) != len(known_failures) or len(known_failures) > MAX_KNOWN_FAILURES:
+        raise pytest.UsageError(f"{KNOWN_FAILURES_FILE}: each test once, and {MAX_KNOWN_FAILURES} lines at most")
+    return known_failures
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Read the file before anything is collected."""
-    path = Path(config.rootpath) / NAME
-    config.stash[LINES] = read(path.read_text()) if path.exists() else []
+    """Read the list of known failures before tests are collected."""
+    path = Path(config.rootpath) / KNOWN_FAILURES_FILE
+    config.stash[KNOWN_FAILURES_KEY] = parse_known_failures(path.read_text()) if path.exists() else []
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Mark the tests that are named; a name that is in none of the collected files it claims is an error."""
-    known = {item.nodeid: item for item in items}
-    files = {nodeid.partition("::")[0] for nodeid in known}
-    chosen = bool(config.getoption("keyword") or any("::" in argument for argument in config.args))
-    for test, cause in config.stash[LINES]:
+    """Mark the listed tests as expected failures; a listed test that does not exist is an error.
+
+    A test is only reported as missing where its whole file was collected, or where the file does not exist.
+    """
+    items_by_id = {item.nodeid: item for item in items}
+    collected_files = {nodeid.partition("::")[0] for nodeid in items_by_id}
+    subset_selected = bool(config.getoption("keyword") or any("::" in argument for argument in config.args))
+    for test, cause in config.stash[KNOWN_FAILURES_KEY]:
         file = test.partition("::")[0]
-        missing = not (Path(config.rootpath) / file).exists() or (file in files and not chosen)
-        if test in known:
-            known[test].add_marker(pytest.mark.xfail(reason=cause, strict=True))
+        missing = not (Path(config.rootpath) / file).exists() or (file in collected_files and not subset_selected)
+        if test in items_by_id:
+            items_by_id[test].add_marker(pytest.mark.xfail(reason=cause, strict=True))
         elif missing:
-            raise pytest.UsageError(f"{NAME}: {test}: no such test")
+            raise pytest.UsageError(f"{KNOWN_FAILURES_FILE}: {test}: no such test")
 
 
 def pytest_terminal_summary(terminalreporter: pytest.TerminalReporter, config: pytest.Config) -> None:
-    """Print what is known to fail."""
-    for test, cause in config.stash[LINES]:
+    """Print the known failures."""
+    for test, cause in config.stash[KNOWN_FAILURES_KEY]:
         terminalreporter.write_line(f"known red: {test}: {cause}")
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Clients' bodies over 64 KiB: kept while there is room, passed on as they come beyond that."""
+"""Tests of request bodies over 64 KiB: buffered within the memory budget, streamed to the server beyond it."""
 
 from __future__ import annotations
 
@@ -19,33 +19,34 @@
 from petrelhall.net.stream import Stream
 from tests.peers import PATIENCE_S, Story, ask, read_message, reply
 
-RESET = struct.pack("ii", 1, 0)
+LINGER_RESET = struct.pack("ii", 1, 0)
 
 
-def post(length: int | None, number: int = 1, **headers: str) -> bytes:
-    """Word the head of a keyed request with a body of some length, or in chunks."""
+def post_head(length: int | None, number: int = 1, **headers: str) -> bytes:
+    """Build the head of a POST with an idempotency key, for a body of the given length or (None) a chunked one."""
     framing = {"Transfer_Encoding": "chunked"} if length is None else {"Content_Length": str(length)}
     return ask(number, "change", Idempotency_Key=f"k{number}", **framing, **headers).replace(b"GET", b"POST", 1)
 
 
 def chunk(data: bytes) -> bytes:
+    """Encode the data as one chunk of a chunked body."""
     return b"%x\r\n%s\r\n" % (len(data), data)
 
 
-class Counting(unittest.TestCase):
-    """Who gets how much."""
+class BodyBudgetTest(unittest.TestCase):
+    """The memory budget for bodies, and how it is shared."""
 
-    def test_a_body_is_kept_while_there_is_room_and_gives_it_back(self) -> None:
+    def test_bodies_are_buffered_within_the_budget_and_release_it(self) -> None:
         room = Room(60.0)
-        held = []
+        buffered = []
         while room.keep(KEEP_EACH, 0):
-            held.append(KEEP_EACH)
-        self.assertEqual(len(held), 3)  # 0.3 of 30 MB, three copies each
+            buffered.append(KEEP_EACH)
+        self.assertEqual(len(buffered), 3)  # 0.3 of 30 MB is available, and each body counts three times (its copies)
         self.assertFalse(Room(500.0).keep(1, KEEP_EACH))
         room.give_back(KEEP_EACH)
         self.assertTrue(room.keep(KEEP_EACH, 0))
 
-    def test_the_more_flow_at_once_the_less_each_holds(self) -> None:
+    def test_buffer_of_each_streamed_body_shrinks_with_their_number(self) -> None:
         room = Room(40.0)
         self.assertEqual(room.each, MOST_EACH)
         room.flows = 100
@@ -53,10 +54,10 @@
         self.assertLessEqual(2 * 100 * room.each, 4 << 20)
 
 
-class Streams(unittest.TestCase):
-    """What a peer that resets does to a reader that is busy."""
+class StreamResetTest(unittest.TestCase):
+    """A stream whose peer resets the connection while its read buffer is full."""
 
-    def test_a_reset_under_a_full_buffer_ends_the_stream_and_not_the_loop(self) -> None:
+    def test_reset_with_a_full_buffer_ends_the_stream_and_not_the_loop(self) -> None:
         loop = Loop(print)
         with socket.create_server(("127.0.0.1", 0)) as listener:
             peer = socket.create_connection(listener.getsockname())
@@ -65,22 +66,22 @@
         stream = Stream(loop, sock, lambda: None)
         stream.keep = 1000
         peer.sendall(b"x" * 50000)
-        until = time.monotonic() + PATIENCE_S
-        while len(stream.incoming) <= stream.keep and time.monotonic() < until:
+        deadline = time.monotonic() + PATIENCE_S
+        while len(stream.incoming) <= stream.keep and time.monotonic() < deadline:
             loop.turn()
-        peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         peer.close()
-        while not stream.ended and time.monotonic() < until:
+        while not stream.ended and time.monotonic() < deadline:
             loop.after(5.0, lambda: None)
             loop.turn()
         self.assertTrue(stream.ended)
 
 
-class Bodies(Story):
-    """Large bodies reach a server as they were sent, once."""
+class LargeBodyTest(Story):
+    """Large bodies reach a server unchanged and are streamed at most once."""
 
-    def read_body(self, sock: socket.socket) -> tuple[bytes, bytes]:
-        """Read a request whole: its head, and its body without framing."""
+    def read_request(self, sock: socket.socket) -> tuple[bytes, bytes]:
+        """Read one complete request; returns its head and its body with any chunked framing removed."""
         data = b""
         while b"\r\n\r\n" not in data:
             data += sock.recv(65536)
@@ -93,182 +94,183 @@
             body += more
         if length:
             return head, body
-        whole = b""
+        decoded = b""
         while body:
             size, _, body = body.partition(b"\r\n")
-            whole, body = whole + body[: int(size, 16)], body[int(size, 16) + 2 :]
-        return head, whole
+            decoded, body = decoded + body[: int(size, 16)], body[int(size, 16) + 2 :]
+        return head, decoded
 
-    def test_three_megabytes_pass_unchanged_with_their_length(self) -> None:
+    def test_three_megabyte_body_is_streamed_unchanged_with_its_length(self) -> None:
         server = self.listener()
         self.start(server)
         body = bytes(range(256)) * 12000
-        client = self.client(post(len(body)))
+        client = self.client(post_head(len(body)))
         with self.beside(lambda: client.sendall(body)):
-            at_server = self.accept(server)
-            head, came = self.read_body(at_server)
-        self.assertEqual(came, body)
+            server_connection = self.accept(server)
+            head, received = self.read_request(server_connection)
+        self.assertEqual(received, body)
         self.assertIn(b"content-length: %d" % len(body), head.lower())
-        at_server.sendall(reply(b"done"))
+        server_connection.sendall(reply(b"done"))
         self.assertTrue(read_message(client).endswith(b"done"))
-        client.sendall(ask(2))  # the connection goes on
-        read_message(at_server)
-        at_server.sendall(reply(b"next"))
+        client.sendall(ask(2))  # the connection is still usable
+        read_message(server_connection)
+        server_connection.sendall(reply(b"next"))
         self.assertTrue(read_message(client).endswith(b"next"))
         self.assertIn("answered.bodies_passed_on=1", self.stop())
 
-    def test_the_time_of_a_request_counts_from_the_last_byte_of_its_body(self) -> None:
+    def test_request_deadline_counts_from_the_last_byte_of_the_body(self) -> None:
         server = self.listener()
         self.start(server)
-        client = self.client(post(2 << 20, deadline="1000m"))
+        client = self.client(post_head(2 << 20, deadline="1000m"))
         with self.beside(lambda: [(client.sendall(b"x" * (1 << 18)), time.sleep(0.2)) for _ in range(8)]):
-            at_server = self.accept(server)
-            self.read_body(at_server)
-        at_server.sendall(reply(b"done"))
+            server_connection = self.accept(server)
+            self.read_request(server_connection)
+        server_connection.sendall(reply(b"done"))
         self.assertTrue(read_message(client).endswith(b"done"))
 
-    def test_a_kept_body_gives_its_room_back_with_its_answer(self) -> None:
+    def test_buffered_body_releases_its_memory_budget_with_the_answer(self) -> None:
         server = self.listener()
-        self.start(server, limits={"sockets": 1024, "memory_mb": 32})  # room for one of 150 kB
-        first = self.client(post(150000), b"x" * 150000)
-        at_server = self.accept(server)
-        for client in (first, self.client()):  # the first stays, idle
+        self.start(server, limits={"sockets": 1024, "memory_mb": 32})  # the memory budget holds one body of 150 kB
+        first = self.client(post_head(150000), b"x" * 150000)
+        server_connection = self.accept(server)
+        for client in (first, self.client()):  # the first connection stays open, idle
             if client is not first:
-                client.sendall(post(150000, 2) + b"x" * 150000)
-            self.read_body(at_server)
-            at_server.sendall(reply(b"done"))
+                client.sendall(post_head(150000, 2) + b"x" * 150000)
+            self.read_request(server_connection)
+            server_connection.sendall(reply(b"done"))
             self.assertTrue(read_message(client).endswith(b"done"))
         self.assertNotIn("bodies_passed_on", self.stop())
 
-    def test_a_slow_body_is_no_slowness_of_its_server(self) -> None:
-        loop, told = Loop(print), list[Any]()
+    def test_slow_upload_does_not_count_as_server_latency(self) -> None:
+        loop, events = Loop(print), list[Any]()
 
-        class Servers:
+        class SlowServers:
             def attempt(self, *args: Any) -> Steps[Result]:
                 yield from loop.sleep(150.0)
                 return Result(Ending.OK, Reach.ANSWERED, asked_at=now_ms() - 5.0)
 
-        class Caller:
+        class ConnectedClient:
             gone = False
 
-        def tell(event: api.Event) -> None:
-            told.append(event)
+        def record_event(event: api.Event) -> None:
+            events.append(event)
             if isinstance(event, api.Arrival):
                 loop.after(0.0, lambda: request_handler.deliver(api.Send(event.request, "s0")))
 
-        request_handler = RequestHandler(loop, tell, Servers(), Counts(), 0.0)
-        loop.spawn(request_handler.serve(Request(0, 0, "a", 5000.0, 1.0, 1, False, None), Caller()))
-        until = time.monotonic() + PATIENCE_S
-        while len(told) < 2 and time.monotonic() < until:
+        request_handler = RequestHandler(loop, record_event, SlowServers(), Counts(), 0.0)
+        loop.spawn(request_handler.serve(Request(0, 0, "a", 5000.0, 1.0, 1, False, None), ConnectedClient()))
+        deadline = time.monotonic() + PATIENCE_S
+        while len(events) < 2 and time.monotonic() < deadline:
             loop.turn()
-        self.assertLess(told[1].latency_ms, 100.0)
+        self.assertLess(events[1].latency_ms, 100.0)
 
-    def test_chunks_with_a_trailer_pass_and_a_client_that_waits_for_leave_gets_it(self) -> None:
+    def test_chunked_body_with_a_trailer_is_accepted_and_expect_100_is_answered(self) -> None:
         server = self.listener()
         self.start(server)
         body = b"c" * (2 << 20)
-        client = self.client(post(None, Expect="100-continue"))
+        client = self.client(post_head(None, Expect="100-continue"))
         client.settimeout(PATIENCE_S)
         self.assertTrue(client.recv(64).startswith(b"HTTP/1.1 100"))
-        pieces = b"".join(chunk(body[at : at + 50000]) for at in range(0, len(body), 50000))
-        with self.beside(lambda: client.sendall(pieces + b"0\r\nX-Sum: 1\r\n\r\n")):
-            at_server = self.accept(server)
-            _, came = self.read_body(at_server)
-        self.assertEqual(came, body)
-        at_server.sendall(reply(b"done"))
+        chunks = b"".join(chunk(body[start : start + 50000]) for start in range(0, len(body), 50000))
+        with self.beside(lambda: client.sendall(chunks + b"0\r\nX-Sum: 1\r\n\r\n")):
+            server_connection = self.accept(server)
+            _, received = self.read_request(server_connection)
+        self.assertEqual(received, body)
+        server_connection.sendall(reply(b"done"))
         self.assertTrue(read_message(client).endswith(b"done"))
 
-    def test_a_body_that_is_kept_goes_again_whole_where_a_server_did_not_run_it(self) -> None:
+    def test_buffered_body_is_resent_completely_after_a_server_did_not_run_it(self) -> None:
         servers = [self.listener(), self.listener()]
         self.start(*servers)
         body = b"k" * 300000
-        client = self.client(post(len(body)), body)
-        first = self.either(servers)
-        self.assertEqual(self.read_body(first)[1], body)
+        client = self.client(post_head(len(body)), body)
+        first = self.accept_from_any(servers)
+        self.assertEqual(self.read_request(first)[1], body)
         first.sendall(reply(b"", "503 Busy", "X-Not-Run: 1"))
-        second = self.either(servers)
-        self.assertEqual(self.read_body(second)[1], body)
+        second = self.accept_from_any(servers)
+        self.assertEqual(self.read_request(second)[1], body)
         second.sendall(reply(b"done"))
         self.assertTrue(read_message(client).endswith(b"done"))
 
-    def either(self, servers: list[socket.socket]) -> socket.socket:
-        """Accept at whichever server is connected to."""
-        until = time.monotonic() + PATIENCE_S
+    def accept_from_any(self, servers: list[socket.socket]) -> socket.socket:
+        """Accept a connection at whichever server the gateway connects to."""
+        deadline = time.monotonic() + PATIENCE_S
         for server in servers:
             server.settimeout(0.02)
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             for server in servers:
                 try:
                     return self.accept(server)
                 except TimeoutError:
                     continue
-        raise AssertionError("nobody came")
+        raise AssertionError("the gateway connected to no server")
 
-    def test_a_server_that_breaks_off_or_answers_early_ends_the_one_attempt_with_a_refusal(self) -> None:
-        for way in ("reset", "early"):
-            with self.subTest(way=way):
+    def test_reset_or_early_rejection_of_a_streamed_body_is_refused_without_a_retry(self) -> None:
+        for fault in ("reset", "early"):
+            with self.subTest(fault=fault):
                 servers = [self.listener(), self.listener()]
                 self.start(*servers)
-                client = self.client(post(4 << 20), b"x" * (2 << 20))
-                at_server = self.either(servers)
-                at_server.recv(65536)
-                if way == "early":
-                    at_server.sendall(reply(b"", "503 Busy", "X-Not-Run: 1", "Connection: close"))
+                client = self.client(post_head(4 << 20), b"x" * (2 << 20))
+                server_connection = self.accept_from_any(servers)
+                server_connection.recv(65536)
+                if fault == "early":
+                    server_connection.sendall(reply(b"", "503 Busy", "X-Not-Run: 1", "Connection: close"))
                 else:
-                    at_server.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
-                    at_server.close()
+                    server_connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+                    server_connection.close()
                 answer = read_message(client)
                 self.assertTrue(answer.startswith(b"HTTP/1.1 429"), answer)
                 self.assertIn(b"retry-after", answer.lower())
                 self.assertIn(b"connection: close", answer.lower())
-                time.sleep(0.6)  # it is heard out, however late it reads the answer
+                # The gateway keeps reading the rest of the body, even if the client reads the answer late.
+                time.sleep(0.6)
                 client.sendall(b"x" * (2 << 20))
                 client.shutdown(socket.SHUT_WR)
                 self.assertEqual(client.recv(1), b"")
                 counts = self.stop()
-                self.assertIn("sent.moot=", counts)  # the next was none: its body had been passed on
+                self.assertIn("sent.moot=", counts)  # the next attempt was not made: the body had already been streamed
                 self.assertIn("connections.to_servers=1 ", counts)
 
-    def test_a_client_that_stops_in_its_body_gets_408_and_its_server_no_whole_request(self) -> None:
+    def test_client_that_stalls_in_its_body_gets_408_and_no_complete_request_is_sent(self) -> None:
         server = self.listener()
         self.start(server)
-        client = self.client(post(4 << 20), b"x" * (2 << 20))
-        at_server = self.accept(server)
-        came = 0
-        at_server.settimeout(2 * PATIENCE_S)
-        while more := at_server.recv(1 << 20):
-            came += len(more)
-        self.assertLess(came, 4 << 20)
+        client = self.client(post_head(4 << 20), b"x" * (2 << 20))
+        server_connection = self.accept(server)
+        received = 0
+        server_connection.settimeout(2 * PATIENCE_S)
+        while more := server_connection.recv(1 << 20):
+            received += len(more)
+        self.assertLess(received, 4 << 20)
         self.assertTrue(read_message(client).startswith(b"HTTP/1.1 408"))
 
-    def test_a_body_that_grows_past_what_is_taken_gets_413(self) -> None:
+    def test_chunked_body_over_the_size_limit_gets_413(self) -> None:
         server = self.listener()
         self.start(server)
-        client = self.client(post(None))
-        piece = chunk(b"x" * (1 << 20))
+        client = self.client(post_head(None))
+        one_chunk = chunk(b"x" * (1 << 20))
 
-        def send() -> None:
+        def send_body() -> None:
             try:
                 for _ in range(40):
-                    client.sendall(piece)
+                    client.sendall(one_chunk)
             except OSError:
-                pass  # the gateway reads no more
+                pass  # the gateway has stopped reading
 
-        with self.beside(send):
-            at_server = self.accept(server)
-            while at_server.recv(1 << 20):
+        with self.beside(send_body):
+            server_connection = self.accept(server)
+            while server_connection.recv(1 << 20):
                 pass
             self.assertTrue(read_message(client).startswith(b"HTTP/1.1 413"))
 
-    def test_a_server_that_does_not_read_holds_its_client_back(self) -> None:
+    def test_server_that_does_not_read_applies_backpressure_to_its_client(self) -> None:
         server = self.listener()
         server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
         self.start(server)
-        client = self.client(post(32 << 20))
-        self.client(ask(9))  # others are served meanwhile
+        client = self.client(post_head(32 << 20))
+        self.client(ask(9))  # other clients connect meanwhile
         client.settimeout(1.0)
         sent = 0
         with self.assertRaises(TimeoutError):
             while sent < 32 << 20:
                 sent += client.send(b"x" * 65536)
-        self.assertLess(sent, 16 << 20)  # what the kernel holds on the way, and little more
+        self.assertLess(sent, 16 << 20)  # the kernel socket buffers along the path, and little more
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""Stories of the gateway on loopback sockets, each named after the failure that it guards against."""
+"""Tests of the gateway on loopback sockets; each test is named after the behaviour that it protects."""
 
 from __future__ import annotations
 
@@ -36,78 +36,78 @@
 from petrelhall.operator.settings import Links
 from tests.peers import PATIENCE_S, PROFILE, Story, address, ask, entry, listen, read_message, reply
 
-ASKED = ForwardedRequest(Message(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
+FORWARDED_REQUEST = ForwardedRequest(Message(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
 
 
-class Serving(Story):
-    """Answers reach clients; what goes wrong at servers does not."""
+class ServingTest(Story):
+    """Clients get complete answers; server faults are retried or turned into refusals."""
 
-    def test_a_request_passes_unchanged_and_connections_are_used_again(self) -> None:
+    def test_request_is_forwarded_unchanged_and_connections_are_reused(self) -> None:
         server = self.listener()
         self.start(server)
         body = b"x" * 40000
-        posted = ask(kind="change", Idempotency_Key="k1", Content_Length=str(len(body)))
-        posted = posted.replace(b"GET", b"POST", 1)
-        client = self.client(posted[:20], posted[20:], body)
-        at_server = self.accept(server)
-        seen = read_message(at_server)
-        self.assertTrue(seen.startswith(b"POST /api?client=00000000b4d65521 HTTP/1.1\r\n"))
-        self.assertTrue(seen.endswith(body))
+        post_request = ask(kind="change", Idempotency_Key="k1", Content_Length=str(len(body)))
+        post_request = post_request.replace(b"GET", b"POST", 1)
+        client = self.client(post_request[:20], post_request[20:], body)
+        server_connection = self.accept(server)
+        received = read_message(server_connection)
+        self.assertTrue(received.startswith(b"POST /api?client=00000000b4d65521 HTTP/1.1\r\n"))
+        self.assertTrue(received.endswith(body))
         for header in (b"X-Request-Id: 0000000000000001", b"Idempotency-Key: k1"):
-            self.assertIn(header.lower(), seen.lower())
-        wait = re.search(rb"x-deadline: (\d+)m", seen.lower())
-        self.assertTrue(wait and 5000 < int(wait[1]) < 6000, seen[:400])
-        at_server.sendall(reply(b"answer", "200 OK", "X-Load: LOAD inflight=3, qps=7"))
+            self.assertIn(header.lower(), received.lower())
+        forwarded_deadline = re.search(rb"x-deadline: (\d+)m", received.lower())
+        self.assertTrue(forwarded_deadline and 5000 < int(forwarded_deadline[1]) < 6000, received[:400])
+        server_connection.sendall(reply(b"answer", "200 OK", "X-Load: LOAD inflight=3, qps=7"))
         self.assertTrue(read_message(client).endswith(b"\r\n\r\nanswer"))
         client.sendall(ask(2))
-        self.assertIn(b"0000000000000002", read_message(at_server))
-        at_server.sendall(reply(b"second"))
+        self.assertIn(b"0000000000000002", read_message(server_connection))
+        server_connection.sendall(reply(b"second"))
         self.assertTrue(read_message(client).endswith(b"second"))
         counts = self.stop()
-        for part in ("taken.requests=2", "answered.served=2", "sent.ok=2", "connections.to_servers=1"):
-            self.assertIn(part, counts)
+        for count in ("taken.requests=2", "answered.served=2", "sent.ok=2", "connections.to_servers=1"):
+            self.assertIn(count, counts)
 
-    def test_half_an_answer_is_not_served_and_the_next_attempt_waits_for_the_first_to_end(self) -> None:
+    def test_truncated_answer_is_retried_after_the_first_attempt_has_ended(self) -> None:
         servers = self.listener(), self.listener()
         self.start(*servers)
         client = self.client(ask())
-        first, number = self.first_of(*servers)
+        first, first_index = self.accept_first(*servers)
         read_message(first)
         first.sendall(reply(b"whole")[:-2])
         first.close()
-        second = self.accept(servers[1 - number])
+        second = self.accept(servers[1 - first_index])
         read_message(second)
         second.sendall(reply(b"other"))
         self.assertTrue(read_message(client).endswith(b"\r\n\r\nother"))
         self.assertIn("sent.reset=1", self.stop())
 
-    def first_of(self, *servers: socket.socket) -> tuple[socket.socket, int]:
-        """Accept from whichever server is sent to first."""
+    def accept_first(self, *servers: socket.socket) -> tuple[socket.socket, int]:
+        """Accept a connection from whichever server receives one first; returns it with the index of the server."""
         with selectors.DefaultSelector() as selector:
-            for number, server in enumerate(servers):
-                selector.register(server, selectors.EVENT_READ, number)
+            for index, server in enumerate(servers):
+                selector.register(server, selectors.EVENT_READ, index)
             ready = selector.select(PATIENCE_S)
-            self.assertTrue(ready, "no attempt came")
+            self.assertTrue(ready, "the gateway connected to no server")
             return self.accept(servers[ready[0][0].data]), ready[0][0].data
 
-    def test_a_body_in_chunks_goes_on_with_its_length(self) -> None:
+    def test_chunked_body_is_forwarded_with_a_content_length(self) -> None:
         server = self.listener()
         self.start(server)
-        posted = ask(kind="change", Idempotency_Key="k1", Transfer_Encoding="chunked")
-        client = self.client(posted.replace(b"GET", b"POST", 1), b"3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n")
-        at_server = self.accept(server)
-        seen = read_message(at_server)
-        self.assertTrue(seen.endswith(b"\r\n\r\nabcdefg"), seen)
-        self.assertIn(b"content-length: 7", seen.lower())
-        at_server.sendall(reply(b"done"))
+        post_request = ask(kind="change", Idempotency_Key="k1", Transfer_Encoding="chunked")
+        client = self.client(post_request.replace(b"GET", b"POST", 1), b"3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n")
+        server_connection = self.accept(server)
+        received = read_message(server_connection)
+        self.assertTrue(received.endswith(b"\r\n\r\nabcdefg"), received)
+        self.assertIn(b"content-length: 7", received.lower())
+        server_connection.sendall(reply(b"done"))
         self.assertTrue(read_message(client).endswith(b"done"))
 
-    def test_a_spoilt_answer_is_no_answer_and_its_server_is_not_taken_for_dead(self) -> None:
+    def test_malformed_answer_is_refused_and_does_not_mark_its_server_as_failed(self) -> None:
         server = self.listener()
         self.start(server)
         client = self.client()
         chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n"
-        spoilt = (
+        malformed_answers = (
             b"\x00noise\r\n\r\n",
             b"ICY 200 OK\r\nContent-Length: 2\r\n\r\nno",
             b"HTTP/1.1 200 OK\r\n" + b"X-Pad: pppppppp\r\n" * 4000,
@@ -118,116 +118,118 @@
             chunked + b"Content-Length: 2\r\n\r\n2\r\nno\r\n0\r\n\r\n",
             b"HTTP/1.1 100 Continue\r\n\r\n" * 30,
         )
-        for number, answer in enumerate(spoilt):
+        for number, answer in enumerate(malformed_answers):
             with self.subTest(answer=answer[:40]):
                 client.sendall(ask(number))
-                at_server = self.accept(server)  # each on a connection of its own, and at once
-                read_message(at_server)
-                at_server.sendall(answer)
+                server_connection = self.accept(server)  # each on a new connection, without a back-off
+                read_message(server_connection)
+                server_connection.sendall(answer)
                 self.assertTrue(read_message(client).startswith(b"HTTP/1.1 429"))
         client.sendall(ask(100))
-        at_server = self.accept(server)
-        read_message(at_server)
-        at_server.sendall(b"HTTP/1.1 102 Wait\r\n\r\n" * 3 + reply(b"good") + reply(b"behind"))
+        server_connection = self.accept(server)
+        read_message(server_connection)
+        server_connection.sendall(b"HTTP/1.1 102 Wait\r\n\r\n" * 3 + reply(b"good") + reply(b"behind"))
         self.assertTrue(read_message(client).endswith(b"good"))
         client.sendall(ask(101))
-        at_server = self.accept(server)  # what came behind is nobody's answer
-        read_message(at_server)
-        at_server.sendall(reply(b"next"))
+        server_connection = self.accept(server)  # bytes after a complete answer are not taken for the next answer
+        read_message(server_connection)
+        server_connection.sendall(reply(b"next"))
         self.assertTrue(read_message(client).endswith(b"next"))
         counts = self.stop()
-        self.assertIn(f"sent.error={len(spoilt)} sent.ok=2 servers.spoilt_answers={len(spoilt)}", counts)
+        self.assertIn(
+            f"sent.error={len(malformed_answers)} sent.ok=2 servers.spoilt_answers={len(malformed_answers)}", counts
+        )
 
-    def test_a_kept_connection_that_breaks_under_its_request_does_not_shut_its_server_out(self) -> None:
+    def test_reset_of_a_reused_connection_does_not_exclude_its_server(self) -> None:
         server = self.listener()
         self.start(server)
         client = self.client()
         for number in range(3):
             client.sendall(ask(number))
             if number % 2 == 0:
-                at_server = self.accept(server)
-            read_message(at_server)
+                server_connection = self.accept(server)
+            read_message(server_connection)
             if number % 2 == 0:
-                at_server.sendall(reply(b"good"))
+                server_connection.sendall(reply(b"good"))
                 self.assertTrue(read_message(client).endswith(b"good"))
             else:
-                at_server.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-                at_server.close()
+                server_connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                server_connection.close()
                 self.assertTrue(read_message(client).startswith(b"HTTP/1.1 429"))
         counts = self.stop()
         self.assertIn("connections.broken_when_used_again=1", counts)
         self.assertIn("sent.ok=2 sent.reset=1", counts)
 
-    def test_turned_away_everywhere_is_one_refusal_that_says_when_to_come_back(self) -> None:
+    def test_rejection_by_every_server_gives_one_429_with_retry_after(self) -> None:
         server = self.listener()
         self.start(server)
         client = self.client(ask())
-        at_server = self.accept(server)
-        read_message(at_server)
-        at_server.sendall(reply(b"", "503 Full", "X-Not-Run: 1"))
+        server_connection = self.accept(server)
+        read_message(server_connection)
+        server_connection.sendall(reply(b"", "503 Full", "X-Not-Run: 1"))
         answer = read_message(client).lower()
         self.assertTrue(answer.startswith(b"http/1.1 429"), answer)
         self.assertIn(b"retry-after: 1.5", answer)
         self.assertIn("sent.full=1", self.stop())
 
-    def test_a_connection_that_its_server_closed_while_idle_is_not_written_to(self) -> None:
+    def test_connection_closed_by_its_server_while_idle_is_not_reused(self) -> None:
         server = self.listener()
         self.start(server)
         client = self.client(ask())
-        at_server = self.accept(server)
-        read_message(at_server)
-        at_server.sendall(reply(b"one"))
-        at_server.shutdown(socket.SHUT_RDWR)
+        server_connection = self.accept(server)
+        read_message(server_connection)
+        server_connection.sendall(reply(b"one"))
+        server_connection.shutdown(socket.SHUT_RDWR)
         read_message(client)
         client.sendall(ask(2))
-        again = self.accept(server)
-        read_message(again)
-        again.sendall(reply(b"two"))
+        second_connection = self.accept(server)
+        read_message(second_connection)
+        second_connection.sendall(reply(b"two"))
         self.assertTrue(read_message(client).endswith(b"two"))
         self.assertNotIn("sent.reset", self.stop())
 
-    def test_a_client_that_leaves_ends_its_attempt(self) -> None:
+    def test_client_disconnect_cancels_its_attempt(self) -> None:
         server = self.listener()
         self.start(server)
         client = self.client(ask())
-        at_server = self.accept(server)
-        read_message(at_server)
+        server_connection = self.accept(server)
+        read_message(server_connection)
         client.close()
-        self.assertEqual(at_server.recv(100), b"")
+        self.assertEqual(server_connection.recv(100), b"")
         counts = self.stop()
         self.assertIn("answered.client_left=1", counts)
         self.assertIn("sent.cancelled=1", counts)
 
-    def test_a_silent_server_is_given_up_before_the_client_gives_up(self) -> None:
+    def test_attempt_at_a_silent_server_ends_before_the_client_deadline(self) -> None:
         server = self.listener()
         self.start(server)
         client = self.client(ask(deadline="900000u"))
-        at_server = self.accept(server)
-        wait = re.search(rb"x-deadline: (\d+)m", read_message(at_server).lower())
-        self.assertTrue(wait and 700 < int(wait[1]) < 890, wait)
+        server_connection = self.accept(server)
+        forwarded_deadline = re.search(rb"x-deadline: (\d+)m", read_message(server_connection).lower())
+        self.assertTrue(forwarded_deadline and 700 < int(forwarded_deadline[1]) < 890, forwarded_deadline)
         self.assertRegex(read_message(client), rb"^HTTP/1.1 (429|502)")
-        self.assertEqual(at_server.recv(100), b"")
+        self.assertEqual(server_connection.recv(100), b"")
 
-    def test_a_client_that_reads_slowly_holds_up_nobody_and_still_gets_all(self) -> None:
+    def test_slow_reader_delays_no_other_client_and_receives_every_answer(self) -> None:
         server = self.listener()
         self.start(server)
-        slow = self.client()
+        slow_client = self.client()
         body = b"z" * 60000
-        for number in range(60):  # more than the kernel holds for a reader that reads nothing
-            slow.sendall(ask(number))
-        with self.beside(lambda: self.answer_all(server, body, 61)):
-            brisk = self.client(ask(99))
-            self.assertTrue(read_message(brisk).endswith(body))
+        for number in range(60):  # together more than the kernel buffers for a client that does not read
+            slow_client.sendall(ask(number))
+        with self.beside(lambda: self.answer_requests(server, body, 61)):
+            fast_client = self.client(ask(99))
+            self.assertTrue(read_message(fast_client).endswith(body))
             received = b""
             while received.count(b"HTTP/1.1 200") < 60 or len(received) < 60 * len(body):
-                received += slow.recv(1 << 20)
+                received += slow_client.recv(1 << 20)
         self.assertIn("answered.served=61", self.stop())
 
-    def answer_all(self, server: socket.socket, body: bytes, requests: int) -> None:
-        """Answer so many requests, each of them on whatever connection it comes by."""
+    def answer_requests(self, server: socket.socket, body: bytes, remaining: int) -> None:
+        """Answer the given number of requests, whichever connections they arrive on."""
         with selectors.DefaultSelector() as selector:
             selector.register(server, selectors.EVENT_READ)
-            while requests:
+            while remaining:
                 for key, _ in selector.select(PATIENCE_S):
                     if key.fileobj is server:
                         selector.register(self.accept(server), selectors.EVENT_READ)
@@ -236,11 +238,11 @@
                     assert isinstance(sock, socket.socket)
                     if read_message(sock):
                         sock.sendall(reply(body))
-                        requests -= 1
+                        remaining -= 1
                     else:
                         selector.unregister(sock)
 
-    def test_what_is_not_in_form_is_told_so_and_reaches_no_server(self) -> None:
+    def test_invalid_request_gets_a_4xx_answer_and_reaches_no_server(self) -> None:
         server = self.listener()
         self.start(server)
         for status, data in (
@@ -273,138 +275,141 @@
         self.assertTrue(read_message(client).startswith(b"HTTP/1.1 200"))
         counts = self.stop()
         self.assertIn("answered.bad_400=19 answered.bad_404=1 answered.bad_413=1", counts)
-        self.assertEqual(len(re.findall(r"first request answered 400", counts)), 1)  # the first of each is told
+        # Only the first answer of each status is logged.
+        self.assertEqual(len(re.findall(r"first request answered 400", counts)), 1)
         self.assertIn("first request answered 413: body too large", counts)
         self.assertNotIn("taken.", counts)
         server.settimeout(0)
         self.assertRaises(BlockingIOError, server.accept)
 
-    def test_a_request_of_a_name_that_is_in_hand_is_told_so_and_the_first_goes_on(self) -> None:
+    def test_duplicate_id_of_a_request_in_flight_gets_400_and_the_first_continues(self) -> None:
         server = self.listener()
         self.start(server)
         client = self.client(ask(1))
-        at_server = self.accept(server)
-        read_message(at_server)
+        server_connection = self.accept(server)
+        read_message(server_connection)
         other = self.client(ask(1))
         self.assertTrue(read_message(other).startswith(b"HTTP/1.1 400"))
-        at_server.sendall(reply(b"first"))
+        server_connection.sendall(reply(b"first"))
         self.assertTrue(read_message(client).endswith(b"first"))
-        other.sendall(ask(1))  # free again
-        read_message(at_server)
-        at_server.sendall(reply(b"again"))
+        other.sendall(ask(1))  # the request id may be used again
+        read_message(server_connection)
+        server_connection.sendall(reply(b"again"))
         self.assertTrue(read_message(other).endswith(b"again"))
 
-    def test_who_says_nothing_or_half_is_let_go_within_three_seconds_however_it_trickles(self) -> None:
+    def test_silent_partial_and_trickling_clients_are_closed_within_three_seconds(self) -> None:
         server = self.listener()
         self.start(server)
-        begin = time.monotonic()
-        silent, half, trickling = self.client(), self.client(ask()[:50]), self.client()
-        later = self.client(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
-        self.assertTrue(read_message(later).startswith(b"HTTP/1.1 200"))
-        later.sendall(ask()[:50])
+        started_at = time.monotonic()
+        silent, partial, trickling = self.client(), self.client(ask()[:50]), self.client()
+        served_before = self.client(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
+        self.assertTrue(read_message(served_before).startswith(b"HTTP/1.1 200"))
+        served_before.sendall(ask()[:50])
         with selectors.DefaultSelector() as selector:
             selector.register(trickling, selectors.EVENT_READ)
-            while not selector.select(0.1) and time.monotonic() < begin + PATIENCE_S:
+            while not selector.select(0.1) and time.monotonic() < started_at + PATIENCE_S:
                 trickling.sendall(b"G")
-        for client in trickling, half, later:
+        for client in trickling, partial, served_before:
             self.assertTrue(read_message(client).startswith(b"HTTP/1.1 408"))
         self.assertEqual(silent.recv(100), b"")
-        self.assertLess(time.monotonic(), begin + 3.0)
+        self.assertLess(time.monotonic(), started_at + 3.0)
 
-    def test_answers_too_large_to_keep_are_passed_on_whole_as_they_come(self) -> None:
+    def test_answers_too_large_to_buffer_are_streamed_completely(self) -> None:
         server = self.listener()
         self.start(server)
         large = bytes(range(256)) * 12288  # 3 MB
         client = self.client(ask(1))
-        at_server = self.accept(server)
-        read_message(at_server)
-        at_server.sendall(reply(large))
+        server_connection = self.accept(server)
+        read_message(server_connection)
+        server_connection.sendall(reply(large))
         self.assertTrue(read_message(client).endswith(b"\r\n\r\n" + large))
-        chunked = b"".join(b"%x\r\n%s\r\n" % (65536, large[i : i + 65536]) for i in range(0, 1 << 20, 65536))
+        chunked = b"".join(
+            b"%x\r\n%s\r\n" % (65536, large[start : start + 65536]) for start in range(0, 1 << 20, 65536)
+        )
         client.sendall(ask(2))
-        read_message(at_server)  # on the same connection: the first answer left it clean
-        at_server.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked + b"0\r\n\r\n")
+        read_message(server_connection)  # on the same connection: nothing of the first answer is left on it
+        server_connection.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked + b"0\r\n\r\n")
         data = b""
         while not data.endswith(b"0\r\n\r\n"):
             data += client.recv(1 << 20)
         rest, body = data.partition(b"\r\n\r\n")[2], b""
-        while rest != b"0\r\n\r\n":  # pieces of any size: what counts is what they hold
+        while rest != b"0\r\n\r\n":  # chunk sizes may differ; only their content is compared
             size, _, rest = rest.partition(b"\r\n")
             body, rest = body + rest[: int(size, 16)], rest[int(size, 16) + 2 :]
         self.assertEqual(body, large[: 1 << 20])
 
-    def test_a_client_that_leaves_before_a_large_answer_ends_its_server_connection(self) -> None:
+    def test_client_disconnect_before_a_large_answer_closes_the_server_connection(self) -> None:
         server = self.listener()
         self.start(server)
         client = self.client(ask(1))
-        at_server = self.accept(server)
-        read_message(at_server)
-        client.close()  # gone before the answer comes
-        time.sleep(0.2)  # the gateway sees the client leave: that is the story, not a race to win
-        at_server.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + b"x" * 100000)
-        at_server.settimeout(PATIENCE_S)
+        server_connection = self.accept(server)
+        read_message(server_connection)
+        client.close()  # before the server answers
+        time.sleep(0.2)  # lets the gateway notice the closed connection before the answer starts
+        server_connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + b"x" * 100000)
+        server_connection.settimeout(PATIENCE_S)
         with contextlib.suppress(ConnectionResetError):
-            while at_server.recv(65536):
-                pass  # whatever comes, the connection must end: nobody will read the rest
+            while server_connection.recv(65536):
+                pass  # the connection must end whatever is received: no client is left to read the rest
 
-    def test_a_slow_head_and_a_body_at_64_kb_a_second_are_waited_for(self) -> None:
+    def test_slow_head_and_body_at_64_kb_per_second_are_accepted(self) -> None:
         server = self.listener()
         self.start(server)
         body = b"x" * 60000
         head = ask(kind="change", Idempotency_Key="k1").replace(b"GET ", b"POST ", 1)
         head = head[:-2] + b"Content-Length: %d\r\n\r\n" % len(body)
         client = self.client(head[:40])
-        time.sleep(1.8)  # a client may spend 2 s on a head: this one is the pace of the story
+        time.sleep(1.8)  # just below the 2 s that a client may spend on a request head
         client.sendall(head[40:])
         for start in range(0, len(body), 8000):
             time.sleep(0.125)  # 64 kB a second
             client.sendall(body[start : start + 8000])
-        at_server = self.accept(server)
-        self.assertTrue(read_message(at_server).endswith(body))
-        at_server.sendall(reply(b"taken"))
+        server_connection = self.accept(server)
+        self.assertTrue(read_message(server_connection).endswith(body))
+        server_connection.sendall(reply(b"taken"))
         self.assertTrue(read_message(client).endswith(b"taken"))
 
-    def test_hundreds_that_say_nothing_do_not_keep_out_those_that_ask(self) -> None:
+    def test_many_silent_connections_do_not_block_active_clients(self) -> None:
         server = self.listener()
         self.start(server, sockets=100)
-        health = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
-        usual = self.client(health)
-        read_message(usual)
+        health_request = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
+        served_client = self.client(health_request)
+        read_message(served_client)
         silent = [self.client() for _ in range(150)]
-        begin = time.monotonic()
+        started_at = time.monotonic()
         for _ in range(3):
-            self.assertTrue(read_message(self.client(health)).startswith(b"HTTP/1.1 200"))
-        usual.sendall(health)  # whoever has asked before is the last to go
-        self.assertTrue(read_message(usual).startswith(b"HTTP/1.1 200"))
-        self.assertLess(time.monotonic(), begin + 1.0)
+            self.assertTrue(read_message(self.client(health_request)).startswith(b"HTTP/1.1 200"))
+        served_client.sendall(health_request)  # connections that carried a request are closed last
+        self.assertTrue(read_message(served_client).startswith(b"HTTP/1.1 200"))
+        self.assertLess(time.monotonic(), started_at + 1.0)
         self.assertEqual(silent[0].recv(100), b"")
 
-    def test_clients_beyond_the_descriptors_are_all_answered(self) -> None:
+    def test_all_clients_are_answered_when_descriptors_run_short(self) -> None:
         server = self.listener()
         self.start(server, sockets=70)
-        health = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
-        clients = [self.client(health) for _ in range(60)]
+        health_request = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
+        clients = [self.client(health_request) for _ in range(60)]
         for client in clients:
             self.assertTrue(read_message(client).startswith(b"HTTP/1.1 200"))
 
 
-class StartAndEnd(Story):
-    """The program ends in good order, or says plainly why it cannot begin."""
+class StartAndShutdownTest(Story):
+    """The program shuts down without losing requests, and names the field when its configuration is wrong."""
 
-    def test_what_was_taken_before_the_end_is_answered_and_the_exit_is_clean(self) -> None:
+    def test_requests_accepted_before_shutdown_are_answered_and_the_exit_code_is_zero(self) -> None:
         server = self.listener()
         self.start(server)
         client, idle = self.client(ask()), self.client()
-        at_server = self.accept(server)
-        read_message(at_server)
+        server_connection = self.accept(server)
+        read_message(server_connection)
         self.program.send_signal(signal.SIGTERM)
-        late = self.client(ask(2))  # clients still come for a while
+        late = self.client(ask(2))  # new clients are accepted for a while after SIGTERM
         second = self.accept(server)
         read_message(second)
         second.sendall(reply(b"late"))
         self.assertTrue(read_message(late).endswith(b"late"))
-        self.assertEqual(idle.recv(100), b"")  # closed between requests, while the first is still out
-        at_server.sendall(reply(b"early"))
+        self.assertEqual(idle.recv(100), b"")  # idle connections are closed while the first request is still in flight
+        server_connection.sendall(reply(b"early"))
         answer = read_message(client)
         self.assertTrue(answer.endswith(b"early"))
         self.assertIn(b"connection: close", answer.lower())
@@ -412,7 +417,7 @@
         self.assertEqual(self.program.returncode, 0, errors)
         self.assertIn("answered.served=2", errors)
 
-    def test_counters_are_printed_on_request(self) -> None:
+    def test_sigusr1_logs_the_counters(self) -> None:
         program = self.start(self.listener())
         read_message(self.client(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"))
         program.send_signal(signal.SIGUSR1)
@@ -420,7 +425,7 @@
         lines = iter(program.stderr.readline, "")
         self.assertIn("connections.from_clients=1", next(line for line in lines if "counts" in line))
 
-    def test_a_bad_configuration_is_one_line_that_names_the_field(self) -> None:
+    def test_invalid_configuration_is_reported_in_one_line_with_the_field(self) -> None:
         for field, change in (
             ("config.listen", {"listen": "nowhere"}),
             ("settings.Grades", {"settings": {}}),
@@ -433,7 +438,7 @@
                 self.assertEqual(len(errors.splitlines()), 1)
                 self.assertIn(field, errors)
 
-    def test_settings_name_the_field_that_is_wrong(self) -> None:
+    def test_settings_error_names_the_invalid_field(self) -> None:
         grade: dict[str, Any] = PROFILE["Grades"][0]
         for field, change in (
             ("Grades[0].DeadlineMs", {"Grades": [grade | {"DeadlineMs": "long"}]}),
@@ -445,116 +450,123 @@
             self.assertIn(f"settings.{field}", str(caught.exception))
 
 
-class Following(Story):
-    """Discovery may say half, nonsense or nothing."""
+class DiscoveryTest(Story):
+    """Discovery may answer partially, with invalid data or not at all."""
 
-    def test_a_watch_goes_on_after_half_answers_and_junk_and_drains_are_obeyed(self) -> None:
-        agent, old, new = self.listener(), self.listener(), self.listener()
-        self.start(old, discovery=address(agent))
-        first = self.accept(agent)
+    def test_watch_continues_after_truncated_and_invalid_answers_and_drains_apply(self) -> None:
+        discovery_server, old, new = self.listener(), self.listener(), self.listener()
+        self.start(old, discovery=address(discovery_server))
+        first = self.accept(discovery_server)
         self.assertTrue(read_message(first).startswith(b"GET /v1/servers HTTP/1.1"))
         first.sendall(reply(b'{"version":2,"full":true,"servers":[]}')[:-9])
         first.close()
-        second = self.accept(agent)
+        second = self.accept(discovery_server)
         read_message(second)
         second.sendall(reply(b'{"version":2,"full":true,"servers":[{"id":"s0"}]}'))
-        self.assertEqual(second.recv(100), b"")  # unusable: dropped, and asked anew
-        third = self.accept(agent)
+        self.assertEqual(second.recv(100), b"")  # invalid entry: the connection is dropped and the list requested again
+        third = self.accept(discovery_server)
         read_message(third)
-        listed = [entry("s0", address(old)), entry("s1", address(new))]
-        third.sendall(reply(json.dumps({"version": 2, "full": True, "servers": listed}).encode()))
+        entries = [entry("s0", address(old)), entry("s1", address(new))]
+        third.sendall(reply(json.dumps({"version": 2, "full": True, "servers": entries}).encode()))
         self.assertIn(b"after=2&wait_ms=", read_message(third))
-        drained = [entry("s0", address(old), "Terminating")]
-        third.sendall(reply(json.dumps({"version": 3, "full": False, "servers": drained}).encode()))
-        self.assertIn(b"after=3&wait_ms=", read_message(third))  # at once, so the watch goes on
+        drained_entries = [entry("s0", address(old), "Terminating")]
+        third.sendall(reply(json.dumps({"version": 3, "full": False, "servers": drained_entries}).encode()))
+        self.assertIn(b"after=3&wait_ms=", read_message(third))  # sent immediately, so the watch continues
         client = self.client()
         for number in range(5):
             client.sendall(ask(number))
             if number == 0:
-                at_new = self.accept(new)
-            read_message(at_new)
-            at_new.sendall(reply(b"new"))
+                new_server_connection = self.accept(new)
+            read_message(new_server_connection)
+            new_server_connection.sendall(reply(b"new"))
             self.assertTrue(read_message(client).endswith(b"new"))
 
-    def test_older_changes_undo_nothing_and_the_whole_list_is_asked_for(self) -> None:
-        agent, old, new = self.listener(), self.listener(), self.listener()
-        self.start(old, discovery=address(agent))
-        line = self.accept(agent)
-        read_message(line)
-        listed = [entry("s0", address(old), "Terminating"), entry("s1", address(new))]
-        whole = reply(json.dumps({"version": 7, "full": True, "servers": listed}).encode())
-        line.sendall(whole)
-        self.assertIn(b"after=7", read_message(line))
-        stale = {"version": 5, "full": False, "servers": [entry("s0", address(old)), {"id": "s1", "state": "Gone"}]}
-        line.sendall(reply(json.dumps(stale).encode()))  # from a replica that is behind
-        self.assertEqual(line.recv(100), b"")
-        line = self.accept(agent)
-        self.assertTrue(read_message(line).startswith(b"GET /v1/servers HTTP/1.1"))
+    def test_changes_of_an_older_version_are_ignored_and_the_full_list_is_requested(self) -> None:
+        discovery_server, old, new = self.listener(), self.listener(), self.listener()
+        self.start(old, discovery=address(discovery_server))
+        connection = self.accept(discovery_server)
+        read_message(connection)
+        entries = [entry("s0", address(old), "Terminating"), entry("s1", address(new))]
+        full_list_reply = reply(json.dumps({"version": 7, "full": True, "servers": entries}).encode())
+        connection.sendall(full_list_reply)
+        self.assertIn(b"after=7", read_message(connection))
+        older_changes = {
+            "version": 5,
+            "full": False,
+            "servers": [entry("s0", address(old)), {"id": "s1", "state": "Gone"}],
+        }
+        # As a discovery replica that lags behind would send.
+        connection.sendall(reply(json.dumps(older_changes).encode()))
+        self.assertEqual(connection.recv(100), b"")
+        connection = self.accept(discovery_server)
+        self.assertTrue(read_message(connection).startswith(b"GET /v1/servers HTTP/1.1"))
         for number in range(4):
             client = self.client(ask(number))
             if number == 0:
-                at_new = self.accept(new)
-            read_message(at_new)
-            at_new.sendall(reply(b"new"))
+                new_server_connection = self.accept(new)
+            read_message(new_server_connection)
+            new_server_connection.sendall(reply(b"new"))
             self.assertTrue(read_message(client).endswith(b"new"))
-        line.sendall(whole)
-        self.assertIn(b"after=7", read_message(line))
+        connection.sendall(full_list_reply)
+        self.assertIn(b"after=7", read_message(connection))
         self.assertIn("discovery.older=1", self.stop())
 
-    def test_discovery_that_refuses_or_is_silent_or_late_is_not_asked_in_a_storm(self) -> None:
+    def test_failing_silent_or_late_discovery_causes_no_request_storm(self) -> None:
         listing = reply(json.dumps({"version": 2, "full": True, "servers": []}).encode())
-        for way, most in (("refuses", 12), ("closes", 12), ("silent", 3), ("late", 3)):
-            with self.subTest(way=way):
-                agent, server = self.listener(), self.listener()
-                self.start(server, discovery=address(agent))
-                lines, until = [], time.monotonic() + 1.0
-                # Late is what comes once it has asked again, however slowly the process has come up.
-                while time.monotonic() < until or (way == "late" and len(lines) < 2):
-                    agent.settimeout(max(0.01, until - time.monotonic()) if way != "late" else PATIENCE_S)
+        for fault, max_connections in (("refuses", 12), ("closes", 12), ("silent", 3), ("late", 3)):
+            with self.subTest(fault=fault):
+                discovery_server, server = self.listener(), self.listener()
+                self.start(server, discovery=address(discovery_server))
+                connections, deadline = [], time.monotonic() + 1.0
+                # An answer counts as late only after the gateway has asked again, however slowly it started.
+                while time.monotonic() < deadline or (fault == "late" and len(connections) < 2):
+                    discovery_server.settimeout(
+                        max(0.01, deadline - time.monotonic()) if fault != "late" else PATIENCE_S
+                    )
                     try:
-                        lines.append(self.accept(agent))
+                        connections.append(self.accept(discovery_server))
                     except TimeoutError:
                         break
-                    read_message(lines[-1])
-                    if way == "refuses":
-                        lines[-1].sendall(reply(b"", "503 Busy"))
-                    elif way == "closes":
-                        lines[-1].close()
-                if way == "late":
+                    read_message(connections[-1])
+                    if fault == "refuses":
+                        connections[-1].sendall(reply(b"", "503 Busy"))
+                    elif fault == "closes":
+                        connections[-1].close()
+                if fault == "late":
                     with contextlib.suppress(OSError):
-                        lines[0].sendall(listing)  # an answer that nobody waits for any more empties no list
-                self.assertLessEqual(len(lines), most)
-                client = self.client(ask(1))  # the list it started with serves
-                at_server = self.accept(server)
-                read_message(at_server)
-                at_server.sendall(reply(b"still"))
+                        connections[0].sendall(listing)  # an answer to an abandoned request must not empty the list
+                self.assertLessEqual(len(connections), max_connections)
+                client = self.client(ask(1))  # the configured initial list stays in use
+                server_connection = self.accept(server)
+                read_message(server_connection)
+                server_connection.sendall(reply(b"still"))
                 self.assertTrue(read_message(client).endswith(b"still"))
                 self.end()
 
-    def test_a_line_to_discovery_that_went_dead_is_left_within_seconds(self) -> None:
-        agent, old, new = self.listener(), self.listener(), self.listener()
-        self.start(old, discovery=address(agent))
-        dead = self.accept(agent)
-        read_message(dead)
+    def test_dead_discovery_connection_is_replaced_within_seconds(self) -> None:
+        discovery_server, old, new = self.listener(), self.listener(), self.listener()
+        self.start(old, discovery=address(discovery_server))
+        dead_connection = self.accept(discovery_server)
+        read_message(dead_connection)
         listing = {"version": 2, "full": True, "servers": [entry("s0", address(old))]}
-        dead.sendall(reply(json.dumps(listing).encode()))
-        self.assertIn(b"after=2", read_message(dead))  # and never a word again
-        agent.settimeout(4.0)
-        fresh = self.accept(agent)
-        self.assertIn(b"after=2", read_message(fresh))
+        dead_connection.sendall(reply(json.dumps(listing).encode()))
+        self.assertIn(b"after=2", read_message(dead_connection))  # no answer follows
+        discovery_server.settimeout(4.0)
+        new_connection = self.accept(discovery_server)
+        self.assertIn(b"after=2", read_message(new_connection))
         changes = [{"id": "s0", "state": "Gone"}, entry("s1", address(new))]
-        fresh.sendall(reply(json.dumps({"version": 3, "full": False, "servers": changes}).encode()))
+        new_connection.sendall(reply(json.dumps({"version": 3, "full": False, "servers": changes}).encode()))
         client = self.client(ask())
-        at_new = self.accept(new)
-        read_message(at_new)
-        at_new.sendall(reply(b"new"))
+        new_server_connection = self.accept(new)
+        read_message(new_server_connection)
+        new_server_connection.sendall(reply(b"new"))
         self.assertTrue(read_message(client).endswith(b"new"))
 
-    def test_a_new_configuration_moves_discovery_and_a_bad_one_moves_nothing(self) -> None:
-        agent, other, old, new = (self.listener() for _ in range(4))
-        with unittest.mock.patch.dict(os.environ, EDGE_DISCOVERY=address(agent)):
+    def test_reload_changes_the_discovery_address_and_an_invalid_one_changes_nothing(self) -> None:
+        discovery_server, other, old, new = (self.listener() for _ in range(4))
+        with unittest.mock.patch.dict(os.environ, EDGE_DISCOVERY=address(discovery_server)):
             program = self.start(old)
-        first = self.accept(agent)
+        first = self.accept(discovery_server)
         read_message(first)
         listing = {"version": 9, "full": True, "servers": [entry("s0", address(old))]}
         first.sendall(reply(json.dumps(listing).encode()))
@@ -564,43 +576,45 @@
         self.assertIn("configuration not taken over", program.stderr.readline())
         self.reload(json.dumps(self.whole | {"discovery": address(other)}))
         second = self.accept(other)
-        self.assertTrue(read_message(second).startswith(b"GET /v1/servers HTTP/1.1"))  # not after version 9
+        # A new address starts without a version, not after version 9.
+        self.assertTrue(read_message(second).startswith(b"GET /v1/servers HTTP/1.1"))
         client = self.client(ask(1))
-        at_old = self.accept(old)  # the old list serves until the new address has answered
-        read_message(at_old)
-        at_old.sendall(reply(b"old"))
+        old_server_connection = self.accept(old)  # the old list stays in use until the new address has answered
+        read_message(old_server_connection)
+        old_server_connection.sendall(reply(b"old"))
         self.assertTrue(read_message(client).endswith(b"old"))
         listing = {"version": 2, "full": True, "servers": [entry("s1", address(new))]}
         second.sendall(reply(json.dumps(listing).encode()))
         self.assertIn(b"after=2", read_message(second))
-        self.assertEqual(first.recv(100), b"")  # nobody listens to the address that was left
+        self.assertEqual(first.recv(100), b"")  # the watch at the old address is closed
         client.sendall(ask(2))
-        at_new = self.accept(new)
-        read_message(at_new)
-        at_new.sendall(reply(b"new"))
+        new_server_connection = self.accept(new)
+        read_message(new_server_connection)
+        new_server_connection.sendall(reply(b"new"))
         self.assertTrue(read_message(client).endswith(b"new"))
         self.assertIn("reload.refused=1 reload.taken=1", self.stop())
 
 
-class Parts(unittest.TestCase):
-    """Single parts between scripted neighbours."""
+class ComponentTest(unittest.TestCase):
+    """Single components between test doubles."""
 
     def setUp(self) -> None:
-        self.notes: list[str] = []
-        self.loop, self.counts = Loop(self.notes.append), Counts()
+        self.log_lines: list[str] = []
+        self.loop, self.counts = Loop(self.log_lines.append), Counts()
 
-    def turn_until(self, done: Any) -> None:
-        until = now_ms() + PATIENCE_S * 1000.0
+    def run_loop_until(self, condition: Any) -> None:
+        """Turn the event loop until the condition holds; fails after ``PATIENCE_S``."""
+        deadline = now_ms() + PATIENCE_S * 1000.0
         self.loop.after(PATIENCE_S * 1000.0, lambda: None)
-        while not done():
-            self.assertLess(now_ms(), until, "nothing came of it")
+        while not condition():
+            self.assertLess(now_ms(), deadline, "the condition was not met in time")
             self.loop.turn()
 
-    def test_an_attempt_that_still_connects_when_its_server_drains_is_not_written(self) -> None:
+    def test_attempt_still_connecting_when_its_server_drains_sends_no_request(self) -> None:
         with (
             socket.create_server(("127.0.0.1", 0), backlog=0) as server,
             socket.create_connection(server.getsockname()),
-        ):  # its queue is full: connecting takes long
+        ):  # the accept queue is full, so the connection attempt stays pending
             fleet = Fleet(("a",))
             fleet.take({"version": 1, "full": True, "servers": [entry("s0", address(server))]})
             platform = Platform(read_settings(PROFILE), ("view", "change"), ("plan",))
@@ -608,44 +622,44 @@
             results: list[Any] = []
 
             def attempt() -> Any:
-                results.append((yield from pool.attempt("s0", ASKED, now_ms() + 8000.0, lambda: False)))
+                results.append((yield from pool.attempt("s0", FORWARDED_REQUEST, now_ms() + 8000.0, lambda: False)))
 
             self.loop.spawn(attempt())
-            self.turn_until(lambda: pool.open)
-            drains = entry("s0", address(server), "Terminating")
-            fleet.take({"version": 2, "full": False, "servers": [drains]})
-            server.accept()[0].close()  # room in the queue: the connection comes up
-            self.turn_until(lambda: results)
+            self.run_loop_until(lambda: pool.open)
+            drained_entry = entry("s0", address(server), "Terminating")
+            fleet.take({"version": 2, "full": False, "servers": [drained_entry]})
+            server.accept()[0].close()  # frees the queue, so the connection is established
+            self.run_loop_until(lambda: results)
             self.assertEqual(results[0].reach, Reach.UNWRITTEN)
             self.assertEqual(results[0].ending, Ending.MOOT)
             self.assertEqual(pool.open, 0)
 
-    def test_a_module_that_breaks_down_leaves_no_request_without_an_answer(self) -> None:
-        class Broken:
+    def test_request_is_refused_when_the_decision_module_raises(self) -> None:
+        class FailingModule:
             actions: list[api.Action] = []
 
             def handle(self, now: float, event: api.Event) -> list[api.Action]:
                 raise ZeroDivisionError
 
-        class Caller:
+        class ConnectedClient:
             gone = False
 
-        dispatcher = Dispatcher(self.loop, Broken(), self.counts, self.notes.append)
+        dispatcher = Dispatcher(self.loop, FailingModule(), self.counts, self.log_lines.append)
         request_handler = RequestHandler(self.loop, dispatcher.dispatch, None, self.counts, 700.0)  # type: ignore[arg-type]
         dispatcher.handle_request_action = request_handler.deliver
         answers: list[Any] = []
 
         def serve() -> Any:
             answers.append(
-                (yield from request_handler.serve(Request(0, 0, "a", 5000.0, 1.0, 1, False, None), Caller()))
+                (yield from request_handler.serve(Request(0, 0, "a", 5000.0, 1.0, 1, False, None), ConnectedClient()))
             )
 
         self.loop.spawn(serve())
-        self.turn_until(lambda: answers)
+        self.run_loop_until(lambda: answers)
         self.assertEqual(answers, [Refused(700.0)])
-        self.assertIn("ZeroDivisionError", self.notes[0])
+        self.assertIn("ZeroDivisionError", self.log_lines[0])
 
-    def test_a_message_that_cannot_be_worded_ends_its_attempt_as_never_run(self) -> None:
+    def test_attempt_whose_message_cannot_be_encoded_ends_as_not_written(self) -> None:
         with listen() as server:
             fleet = Fleet(("a",))
             fleet.take({"version": 1, "full": True, "servers": [entry("s0", address(server), "Ready")]})
@@ -657,11 +671,11 @@
                 results.append((yield from pool.attempt("s0", "junk", now_ms() + 5000.0, lambda: False)))
 
             self.loop.spawn(attempt())
-            self.turn_until(lambda: results)
+            self.run_loop_until(lambda: results)
             self.assertEqual((results[0].ending, results[0].reach), (Ending.MOOT, Reach.UNWRITTEN))
             self.assertEqual(pool.open, 0)
 
-    def test_a_customers_set_and_the_price_of_a_handshake_reach_the_module(self) -> None:
+    def test_customer_gateway_set_and_handshake_price_reach_the_decision_module(self) -> None:
         settings = read_settings(PROFILE | {"Balancers": 9, "Charges": {"Handshake": 0.08}})
         self.assertEqual(settings.handshake_price, 0.08)
         headers = {
@@ -675,123 +689,140 @@
             Message(b"GET", b"/api?client=00000000b4d65521", headers, b"")
         )
         assert isinstance(request, Request)
-        told: list[Any] = []
-        request_handler = RequestHandler(self.loop, told.append, None, self.counts, 700.0)  # type: ignore[arg-type]
+        events: list[Any] = []
+        request_handler = RequestHandler(self.loop, events.append, None, self.counts, 700.0)  # type: ignore[arg-type]
         self.loop.spawn(request_handler.serve(request, SimpleNamespace(gone=True)))
-        self.turn_until(lambda: len(told) > 1)
-        self.assertEqual((told[0].set_size, told[0].set_first), (3, 7))
+        self.run_loop_until(lambda: len(events) > 1)
+        self.assertEqual((events[0].set_size, events[0].set_first), (3, 7))
 
-    def test_a_load_report_with_a_figure_that_is_none_is_no_report(self) -> None:
+    def test_load_report_with_an_invalid_number_is_ignored(self) -> None:
         platform = Platform(read_settings(PROFILE), ("view", "change"), ("plan",))
         self.assertEqual(platform.parse_load_report(b"LOAD inflight=3.5, qps=7"), {"rif": 3.5})
-        for figure in (b"nan", b"inf", b"-1", b"1_0", b"1e999", b"much", b""):
-            self.assertEqual(platform.parse_load_report(b"LOAD inflight=" + figure), {}, figure)
+        for value in (b"nan", b"inf", b"-1", b"1_0", b"1e999", b"much", b""):
+            self.assertEqual(platform.parse_load_report(b"LOAD inflight=" + value), {}, value)
 
-    def test_a_state_not_known_here_and_gone_get_nothing_new(self) -> None:
+    def test_servers_in_an_unknown_state_are_cordoned_and_gone_ones_deregistered(self) -> None:
         fleet = Fleet(("a", "b"))
         states = ("Ready", "Ready", "Odd")
-        lines = [entry(f"s{n}", f"127.0.0.1:{n + 1}", state) for n, state in enumerate(states)]
-        lines[1]["zone"] = "b"
-        told = fleet.take({"version": 1, "full": True, "servers": lines})
-        read = [(server.phase, server.zone) for server in told.servers]
-        self.assertEqual(read, [("healthy", 0), ("healthy", 1), ("cordoned", 0)])
-        told = fleet.take({"version": 2, "full": False, "servers": [{"id": "s0", "state": "Gone"}]})
-        self.assertEqual([(s.address, s.phase) for s in told.servers], [("s0", "deregistered")])
+        entries = [entry(f"s{index}", f"127.0.0.1:{index + 1}", state) for index, state in enumerate(states)]
+        entries[1]["zone"] = "b"
+        update = fleet.take({"version": 1, "full": True, "servers": entries})
+        phases_and_zones = [(server.phase, server.zone) for server in update.servers]
+        self.assertEqual(phases_and_zones, [("healthy", 0), ("healthy", 1), ("cordoned", 0)])
+        update = fleet.take({"version": 2, "full": False, "servers": [{"id": "s0", "state": "Gone"}]})
+        self.assertEqual(
+            [(server_state.address, server_state.phase) for server_state in update.servers], [("s0", "deregistered")]
+        )
         self.assertEqual(fleet.healthy, {"s1"})
 
-    def test_what_follows_from_an_action_waits_for_the_actions_before_it(self) -> None:
-        class Asking:
+    def test_actions_caused_by_an_action_run_after_the_ones_before_them(self) -> None:
+        class ScriptedModule:
             actions: list[api.Action] = []
-            seen: list[str] = []
+            received_events: list[str] = []
 
             def handle(self, now: float, event: api.Event) -> list[api.Action]:
-                self.seen.append(type(event).__name__)
-                again = isinstance(event, api.Started)
-                return [api.CounterAdd(1, 1.0, 1000.0), api.Tell(b"x")] if again else [api.Tell(b"y")]
+                self.received_events.append(type(event).__name__)
+                is_started = isinstance(event, api.Started)
+                return [api.CounterAdd(1, 1.0, 1000.0), api.Tell(b"x")] if is_started else [api.Tell(b"y")]
 
-        module, told = Asking(), list[bytes]()
-        dispatcher = Dispatcher(self.loop, module, self.counts, self.notes.append)
-        dispatcher.send_to_peers = lambda content, to: told.append(content)
+        module, sent_messages = ScriptedModule(), list[bytes]()
+        dispatcher = Dispatcher(self.loop, module, self.counts, self.log_lines.append)
+        dispatcher.send_to_peers = lambda content, recipients: sent_messages.append(content)
         dispatcher.dispatch(api.Started())
-        self.assertEqual(module.seen, ["Started", "CounterReply"])
-        self.assertEqual(told, [b"x", b"y"])
+        self.assertEqual(module.received_events, ["Started", "CounterReply"])
+        self.assertEqual(sent_messages, [b"x", b"y"])
 
-    def test_counter_calls_late_busy_broken_or_never_written_each_end_once(self) -> None:
-        told: list[tuple[int, Ending, float]] = []
+    def test_counter_calls_that_are_late_busy_broken_or_unwritten_end_exactly_once(self) -> None:
+        replies: list[tuple[int, Ending, float]] = []
         with listen() as server:
             counter = CounterClient(
-                self.loop, server.getsockname(), 60.0, lambda r: told.append((r.name, r.ending, r.total)), self.counts
+                self.loop,
+                server.getsockname(),
+                60.0,
+                lambda counter_reply: replies.append((counter_reply.name, counter_reply.ending, counter_reply.total)),
+                self.counts,
             )
             counter.add(1, -2.5, 4000.0)
             counter.add(2, 1e-5, 99999.0)
-            self.turn_until(lambda: len(told) == 2)  # no answer in time
-            self.assertEqual(told, [(1, Ending.TIMEOUT, 0.0), (2, Ending.TIMEOUT, 0.0)])
-            line, _ = server.accept()
-            wanted = b"add 1 -2.5 4000\r\nadd 2 0.00001 60000\r\nadd 3 1 1000\r\nadd 4 2 1\r\n"
+            self.run_loop_until(lambda: len(replies) == 2)  # the counter does not answer in time
+            self.assertEqual(replies, [(1, Ending.TIMEOUT, 0.0), (2, Ending.TIMEOUT, 0.0)])
+            connection, _ = server.accept()
+            expected = b"add 1 -2.5 4000\r\nadd 2 0.00001 60000\r\nadd 3 1 1000\r\nadd 4 2 1\r\n"
             counter.add(3, 1.0, 1000.0)
             counter.add(4, 2.0, 0.2)
-            self.turn_until(lambda: not counter.unsent)
-            self.assertEqual(line.recv(1000), wanted)
-            line.sendall(b"ok 7\r\nok 8\r\nbusy\r\nok 3.5")
-            self.turn_until(lambda: len(told) == 3)
-            self.assertEqual(told[2], (3, Ending.FULL, 0.0))  # the late lines were not taken for its own
-            line.sendall(b"e1\r\n")
-            self.turn_until(lambda: len(told) == 4)
-            self.assertEqual(told[3], (4, Ending.OK, 35.0))
+            self.run_loop_until(lambda: not counter.unsent)
+            self.assertEqual(connection.recv(1000), expected)
+            connection.sendall(b"ok 7\r\nok 8\r\nbusy\r\nok 3.5")
+            self.run_loop_until(lambda: len(replies) == 3)
+            # Late lines answer earlier calls and are not matched to this one.
+            self.assertEqual(replies[2], (3, Ending.FULL, 0.0))
+            connection.sendall(b"e1\r\n")
+            self.run_loop_until(lambda: len(replies) == 4)
+            self.assertEqual(replies[3], (4, Ending.OK, 35.0))
             counter.add(5, 1.0, 1000.0)
-            self.turn_until(lambda: not counter.unsent)
-            line.close()
-            self.turn_until(lambda: len(told) == 5)
-            self.assertEqual(told[4][1], Ending.TIMEOUT)  # written whole: it may have been added
+            self.run_loop_until(lambda: not counter.unsent)
+            connection.close()
+            self.run_loop_until(lambda: len(replies) == 5)
+            # The call was written completely, so it may have been applied.
+            self.assertEqual(replies[4][1], Ending.TIMEOUT)
             counter.add(6, 1.0, 1000.0)
             counter.add(7, 1.0, 1000.0)
-            self.turn_until(lambda: not counter.unsent)
-            line, _ = server.accept()
-            line.sendall(b"ok 1_0\r\nok 9\r\n")  # the first may have been added, and nothing behind it counts
-            self.turn_until(lambda: len(told) == 7)
-            self.assertEqual(told[5:], [(6, Ending.TIMEOUT, 0.0), (7, Ending.TIMEOUT, 0.0)])
+            self.run_loop_until(lambda: not counter.unsent)
+            connection, _ = server.accept()
+            # Call 6 may have been applied; after an invalid line the rest is ignored.
+            connection.sendall(b"ok 1_0\r\nok 9\r\n")
+            self.run_loop_until(lambda: len(replies) == 7)
+            self.assertEqual(replies[5:], [(6, Ending.TIMEOUT, 0.0), (7, Ending.TIMEOUT, 0.0)])
             self.assertIsNone(counter.stream)
-            line.close()
-        counter.add(8, 1.0, 1000.0)  # nobody listens any more
-        self.turn_until(lambda: len(told) == 8)
-        self.assertEqual(told[7][1], Ending.CONNECT_FAILED)
-
-    def test_datagrams_of_strangers_and_too_long_ones_are_dropped(self) -> None:
-        told: list[api.PeerMessage] = []
-        udp = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(3)]
-        for sock in udp:
+            connection.close()
+        counter.add(8, 1.0, 1000.0)  # the listening socket is closed
+        self.run_loop_until(lambda: len(replies) == 8)
+        self.assertEqual(replies[7][1], Ending.CONNECT_FAILED)
+
+    def test_datagrams_from_unknown_senders_and_oversized_ones_are_dropped(self) -> None:
+        received: list[api.PeerMessage] = []
+        udp_sockets = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(3)]
+        for sock in udp_sockets:
             self.addCleanup(sock.close)
             sock.bind(("127.0.0.1", 0))
-        own, peer, stranger = udp
-        where = own.getsockname()
+        own, peer, unknown_sender = udp_sockets
+        own_address = own.getsockname()
         own.close()
-        peers = Peers(self.loop, where, (where, peer.getsockname()), peer.getsockname(), 0, told.append, self.counts)
+        peers = Peers(
+            self.loop,
+            own_address,
+            (own_address, peer.getsockname()),
+            peer.getsockname(),
+            0,
+            received.append,
+            self.counts,
+        )
         self.addCleanup(peers.sock.close)
-        for sock, data in ((stranger, b"junk"), (peer, b"x" * 257), (peer, b"use")):
-            sock.sendto(data, where)
-        self.turn_until(lambda: told)
-        self.assertEqual(told, [api.PeerMessage(1, b"use")])
+        for sock, data in ((unknown_sender, b"junk"), (peer, b"x" * 257), (peer, b"use")):
+            sock.sendto(data, own_address)
+        self.run_loop_until(lambda: received)
+        self.assertEqual(received, [api.PeerMessage(1, b"use")])
         peers.send(b"x" * 257)
         peers.send(b"y" * 256)
         self.assertEqual(peer.recv(300), b"y" * 256)
-        peers.broadcast_address = stranger.getsockname()
+        peers.broadcast_address = unknown_sender.getsockname()
         peers.send(b"one", (1,))
         peers.send(b"all")
-        self.assertEqual((peer.recv(300), stranger.recv(300)), (b"one", b"all"))
+        self.assertEqual((peer.recv(300), unknown_sender.recv(300)), (b"one", b"all"))
 
-    def test_what_nobody_wants_is_dropped_and_kept_nowhere(self) -> None:
-        ours, theirs = socket.socketpair()
-        self.addCleanup(theirs.close)
-        ours.setblocking(False)
-        stream = Stream(self.loop, ours, lambda: None)
+    def test_discarded_stream_input_is_not_buffered(self) -> None:
+        own_end, peer_end = socket.socketpair()
+        self.addCleanup(peer_end.close)
+        own_end.setblocking(False)
+        stream = Stream(self.loop, own_end, lambda: None)
         self.addCleanup(stream.close)
         stream.discard()
-        theirs.sendall(b"x" * 100000)
-        theirs.shutdown(socket.SHUT_WR)
-        self.turn_until(lambda: stream.ended)
+        peer_end.sendall(b"x" * 100000)
+        peer_end.shutdown(socket.SHUT_WR)
+        self.run_loop_until(lambda: stream.ended)
         self.assertFalse(stream.incoming)
 
-    def test_a_log_that_nobody_reads_stops_nothing(self) -> None:
+    def test_log_without_a_reader_drops_lines_and_does_not_block(self) -> None:
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writer)
