--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -19,15 +19,15 @@
 from petrelhall.decide.interface import Ending, PeerMessage, Plan, Refuse, Send
 from petrelhall.gateway.handover import Handover
 from petrelhall.net.loop import Loop
-from tests.test_policy import SETTINGS, Door, sends
+from tests.test_policy import SETTINGS, GatewayHarness, send_actions
 
 PLANS = Plan(rate=2, burst=8, max_open=3), Plan(rate=100, burst=100, ceiling_rate=4, ceiling_burst=8)
 PEERS = replace(SETTINGS, plans=PLANS, gateways=4, peers=True, peer_messages_per_s=100)
 
 
-def transferred_snapshot(door: Door) -> Any:
+def transferred_snapshot(harness: GatewayHarness) -> Any:
     """Take a snapshot and pass it through the encoding of a handover file."""
-    gateway = door.gateway
+    gateway = harness.gateway
     content = snapshot.take(
         gateway, gateway.settings, [gateway.latency[kind] for kind in gateway.settings.classes], gateway.failure_rates
     )
@@ -37,20 +37,22 @@
 class Snapshots(unittest.TestCase):
     """A gateway restored from another process's snapshot."""
 
-    def used_gateway(self) -> Door:
+    def used_gateway(self) -> GatewayHarness:
         """Return a gateway that has served for a while: a drained token bucket, one slow server and one that fails."""
-        door = Door(PEERS)
-        door.now += 5000.0
-        door.feed(PeerMessage(1, b"\x02\x00"))
+        harness = GatewayHarness(PEERS)
+        harness.now += 5000.0
+        harness.feed(PeerMessage(1, b"\x02\x00"))
         for _ in range(6):
-            send = door.ask(spread=4)
+            send = harness.submit(set_size=4)
             if isinstance(send, Send):
-                door.answer(send, Ending.ERROR if send.server == "s1" else Ending.OK, ms=900.0, done=True)
-        door.feed(PeerMessage(1, b"\x02\x00"))
-        return door
+                harness.report_outcome(
+                    send, Ending.ERROR if send.server == "s1" else Ending.OK, latency_ms=900.0, finished=True
+                )
+        harness.feed(PeerMessage(1, b"\x02\x00"))
+        return harness
 
     def test_restored_token_bucket_is_not_full_again(self) -> None:
-        old, new = self.used_gateway(), Door(PEERS)
+        old, new = self.used_gateway(), GatewayHarness(PEERS)
         new.now = old.now + 20.0
         snapshot.restore(new.gateway, PEERS, transferred_snapshot(old), new.now)
         before, after = old.gateway.customers["a"], new.gateway.customers["a"]
@@ -60,21 +62,21 @@
         self.assertEqual(new.gateway.servers["s1"].health, old.gateway.servers["s1"].health)
         self.assertEqual(new.gateway.started, old.gateway.started)  # peers were received long enough to share a limit
         for _ in range(9):
-            last = new.ask(spread=4)
+            last = new.submit(set_size=4)
         self.assertIsInstance(last, Refuse)
 
     def test_open_attempts_of_the_old_process_count_as_those_of_a_peer(self) -> None:
-        old, new = Door(PEERS), Door(PEERS)
+        old, new = GatewayHarness(PEERS), GatewayHarness(PEERS)
         old.now = new.now = old.now + 5000.0
-        for door in (old, new):
-            door.feed(PeerMessage(1, b"\x02\x00"))
-        attempts = [old.ask(spread=1) for _ in range(2)]
+        for harness in (old, new):
+            harness.feed(PeerMessage(1, b"\x02\x00"))
+        attempts = [old.submit(set_size=1) for _ in range(2)]
         self.assertTrue(all(isinstance(send, Send) for send in attempts))
         snapshot.restore(new.gateway, PEERS, transferred_snapshot(old), new.now)
-        self.assertIsInstance(new.ask(spread=1), Send)
-        self.assertNotIsInstance(new.ask(spread=1), Send)  # max_open is three in all
+        self.assertIsInstance(new.submit(set_size=1), Send)
+        self.assertNotIsInstance(new.submit(set_size=1), Send)  # max_open is three in all
         new.now += 1000.0  # the old process has finished them, or no longer reports them
-        self.assertTrue(sends(new.feed(PeerMessage(1, b"\x02\x00"))) or isinstance(new.ask(spread=1), Send))
+        self.assertTrue(send_actions(new.feed(PeerMessage(1, b"\x02\x00"))) or isinstance(new.submit(set_size=1), Send))
 
     def test_malformed_snapshot_or_one_of_other_settings_is_rejected_whole(self) -> None:
         good = transferred_snapshot(self.used_gateway())
@@ -94,7 +96,7 @@
             {**good, "memory": [True] * len(snapshot.GATEWAY_FIELDS)},
         ]
         for data in cases:
-            new = Door(PEERS)
+            new = GatewayHarness(PEERS)
             before = repr(vars(new.gateway)["customers"]), new.gateway.started
             with self.assertRaises(snapshot.SnapshotError, msg=str(data)[:80]):
                 snapshot.restore(new.gateway, PEERS, data, new.now)
@@ -108,11 +110,11 @@
             corrupted = text[:position] + rng.choice('0"{}[],n-e9') + text[position + 1 :]
             try:
                 data = json.loads(corrupted)
-                new = Door(PEERS)
+                new = GatewayHarness(PEERS)
                 snapshot.restore(new.gateway, PEERS, data, new.now)
             except (ValueError, snapshot.SnapshotError):
                 continue
-            new.ask(spread=4)
+            new.submit(set_size=4)
 
 
 class HandoverFiles(unittest.TestCase):
