--- a/benchmarks/links_core.py
+++ b/benchmarks/links_core.py
@@ -11,7 +11,7 @@
 import sys
 import time
 
-from petrelhall.links.plan import Link, Plan, State
+from petrelhall.links.plan import ConnectionPlan, ConnectionRecord, ConnectionState
 from petrelhall.operator.settings import Links
 
 START_MS = 1e12
@@ -27,12 +27,12 @@
     draw = random.Random(1)
     gc.collect()
     before = memory()
-    plan = Plan(Links(), 4 * boxes, 30000.0, 10000.0, 4, 1)
+    plan = ConnectionPlan(Links(), 4 * boxes, 30000.0, 10000.0, 4, 1)
     for number in range(boxes):
-        plan.listed(START_MS, f"s-{number:06d}", ("127.0.0.1", number), 0.0)
+        plan.add_server(START_MS, f"s-{number:06d}", ("127.0.0.1", number), 0.0)
     empty = memory()
-    names = list(plan.boxes)
-    busy: list[Link] = []
+    names = list(plan.servers)
+    busy: list[ConnectionRecord] = []
     now, done, ticks, longest = START_MS, 0, 0, 0.0
     spent = 0.0
     while done < events:
@@ -40,28 +40,28 @@
         began = time.perf_counter()
         kind = draw.random()
         if kind < 0.5 or not busy:
-            link = plan.take(now, names[int(draw.random() ** 2 * boxes)], kind < 0.4)
-            if isinstance(link, Link):
-                if link.state is State.OPENING:
-                    plan.opened(now, link)
+            link = plan.acquire(now, names[int(draw.random() ** 2 * boxes)], kind < 0.4)
+            if isinstance(link, ConnectionRecord):
+                if link.state is ConnectionState.OPENING:
+                    plan.on_opened(now, link)
                 busy.append(link)
         elif kind < 0.98:
             at = int(draw.random() * len(busy))
             link, busy[at] = busy[at], busy[-1]
             busy.pop()
-            plan.answered(now, link)
-            plan.put(now, link, True)
+            plan.on_response(now, link)
+            plan.release(now, link, True)
         else:
             idle = next(iter(plan.idle), None)
             if idle is not None:
-                plan.closed(now, idle)
+                plan.on_idle_closed(now, idle)
         plan.closing.clear()
         done += 1
         if done % 5000 == 0:  # every 100 ms
             tick = time.perf_counter()
             for link in plan.tick(now):
-                plan.opened(now, link)
-                plan.put(now, link, True)
+                plan.on_opened(now, link)
+                plan.release(now, link, True)
             longest = max(longest, time.perf_counter() - tick)
             ticks += 1
         spent += time.perf_counter() - began
--- a/benchmarks/scale/subjects/discovery.py
+++ b/benchmarks/scale/subjects/discovery.py
@@ -22,8 +22,8 @@
 from petrelhall.gateway.dispatch import Dispatcher
 from petrelhall.gateway.platform import Platform
 from petrelhall.http.h1 import Reply
-from petrelhall.links.plan import Plan
-from petrelhall.links.pool import Pool
+from petrelhall.links.plan import ConnectionPlan
+from petrelhall.links.pool import ConnectionPool
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop
 from petrelhall.operator.settings import Links
@@ -40,8 +40,8 @@
     """Put the parts of a gateway that a list of servers goes through together as Program does."""
     settings, loop, counts, fleet = gateway_settings(), Loop(silent), Counts(), Fleet(ZONES)
     dispatcher = Dispatcher(loop, Gateway(settings, 1), counts, silent)
-    plan = Plan(Links(), CONNECTIONS, 30000.0, settings.cold_ms, GATEWAYS, 1)
-    Pool(loop, fleet, Platform(settings, ("read",), ("small", "large")), counts, plan, 250.0)
+    plan = ConnectionPlan(Links(), CONNECTIONS, 30000.0, settings.cold_ms, GATEWAYS, 1)
+    ConnectionPool(loop, fleet, Platform(settings, ("read",), ("small", "large")), counts, plan, 250.0)
     return Watch(loop, ("127.0.0.1", 1), fleet, dispatcher.dispatch, counts, silent)
 
 
--- a/benchmarks/scale/subjects/links.py
+++ b/benchmarks/scale/subjects/links.py
@@ -12,7 +12,7 @@
 from benchmarks.scale.sampling import MEBIBYTE, Effort, Samples, held_bytes
 from petrelhall.capacity.records import Slope
 from petrelhall.gateway.program import CLIENT_SHARE, RESERVED_DESCRIPTORS
-from petrelhall.links.plan import Link, Plan, State
+from petrelhall.links.plan import ConnectionPlan, ConnectionRecord, ConnectionState
 from petrelhall.links.pool import TICK_MS
 from petrelhall.operator.settings import Links
 
@@ -28,11 +28,11 @@
     return room - int(CLIENT_SHARE * room)
 
 
-def plan_before(servers: int, connections: int) -> Plan:
+def plan_before(servers: int, connections: int) -> ConnectionPlan:
     """Give a plan that knows so many servers."""
-    plan = Plan(Links(), connections, IDLE_MS, 0.0, GATEWAYS, 1)
+    plan = ConnectionPlan(Links(), connections, IDLE_MS, 0.0, GATEWAYS, 1)
     for number in range(servers):
-        plan.listed(START_MS, f"server-{number:05d}", ("10.0.0.1", number), 0.0)
+        plan.add_server(START_MS, f"server-{number:05d}", ("10.0.0.1", number), 0.0)
     return plan
 
 
@@ -52,10 +52,10 @@
 class Requests:
     """Sends requests to servers drawn evenly, through a plan whose connections never fail."""
 
-    def __init__(self, plan: Plan, seed: int) -> None:
-        self.plan, self.random, self.names = plan, random.Random(seed), list(plan.boxes)
+    def __init__(self, plan: ConnectionPlan, seed: int) -> None:
+        self.plan, self.random, self.names = plan, random.Random(seed), list(plan.servers)
         self.now = START_MS
-        self.busy: list[tuple[float, int, Link]] = []
+        self.busy: list[tuple[float, int, ConnectionRecord]] = []
         self.order = 0
 
     def run(self, seconds: float) -> Traffic:
@@ -78,13 +78,13 @@
     def ask(self, traffic: Traffic) -> None:
         """Take a connection for a request."""
         traffic.requests += 1
-        link = self.plan.take(self.now, self.random.choice(self.names), True)
-        if not isinstance(link, Link):
+        link = self.plan.acquire(self.now, self.random.choice(self.names), True)
+        if not isinstance(link, ConnectionRecord):
             traffic.waited += 1
             return
-        if link.state is State.OPENING:
-            traffic.opened += 1
-            self.plan.opened(self.now, link)
+        if link.state is ConnectionState.OPENING:
+            traffic.on_opened += 1
+            self.plan.on_opened(self.now, link)
         self.order += 1
         heapq.heappush(self.busy, (self.now + ANSWER_MS, self.order, link))
         self.plan.closing.clear()
@@ -93,8 +93,8 @@
         """Put connections back whose answers have come."""
         while self.busy and self.busy[0][0] <= self.now:
             _, _, link = heapq.heappop(self.busy)
-            self.plan.answered(self.now, link)
-            self.plan.put(self.now, link, True)
+            self.plan.on_response(self.now, link)
+            self.plan.release(self.now, link, True)
 
     def tick(self, now: float, traffic: Traffic) -> None:
         """Let the plan look at all its connections."""
@@ -104,8 +104,8 @@
         traffic.tick_cpu_s += spent
         traffic.longest_tick_ms = max(traffic.longest_tick_ms, 1000.0 * spent)
         for link in ahead:
-            self.plan.opened(now, link)
-            self.plan.put(now, link, True)
+            self.plan.on_opened(now, link)
+            self.plan.release(now, link, True)
         self.plan.closing.clear()
 
 
@@ -155,7 +155,7 @@
             request.add(servers, 1e6 * traffic.request_cpu_s / traffic.requests)
             tick.add(servers, traffic.longest_tick_ms)
             tick_cpu.add(servers, 1000.0 * traffic.tick_cpu_s / effort.seconds)
-            opened.add(servers, traffic.opened / traffic.requests)
+            opened.add(servers, traffic.on_opened / traffic.requests)
         memory.add(servers, held_bytes(plan_before, servers, connections) / MEBIBYTE)
     for samples in (request, tick, tick_cpu, opened, memory):
         yield samples.slope()
@@ -177,5 +177,5 @@
             requests = Requests(plan_before(servers, connections_for(descriptors)), seed)
             requests.run(min(WARM_UP_SECONDS, 1.5 * effort.seconds))
             traffic = requests.run(effort.seconds)
-            opened.add(descriptors, traffic.opened / traffic.requests)
+            opened.add(descriptors, traffic.on_opened / traffic.requests)
     return opened.slope()
--- a/petrelhall/gateway/platform.py
+++ b/petrelhall/gateway/platform.py
@@ -9,7 +9,7 @@
 from petrelhall.decide.interface import Ending
 from petrelhall.gateway.requests import Answer, Failed, Refused, Request, Served, Unsure
 from petrelhall.http.h1 import Broken, Headers, Inflow, Message, Reply
-from petrelhall.links.attempt import Verdict
+from petrelhall.links.attempt import ResponseVerdict
 
 PATH, READY = b"/api", b"/healthz"
 DEADLINE = re.compile(rb"(\d{1,9}(?:\.\d{1,6})?)([mu])", re.ASCII)
@@ -151,14 +151,14 @@
         """Give the rest of a body that is passed on as it comes, if there is one."""
         return message.message.rest if isinstance(message, ForwardedRequest) else None
 
-    def verdict(self, reply: Reply) -> Verdict:
+    def verdict(self, reply: Reply) -> ResponseVerdict:
         """Read a server's answer; only its own word that the request did not run is proof of that."""
         report = self.parse_load_report(reply.headers.get(b"x-load", b""))
         if reply.status == 200:
-            return Verdict(Ending.OK, report)
+            return ResponseVerdict(Ending.OK, report)
         if reply.status in (503, 504) and reply.headers.get(b"x-not-run") == b"1":
-            return Verdict(Ending.FULL, report)
-        return Verdict(Ending.ERROR, report)
+            return ResponseVerdict(Ending.FULL, report)
+        return ResponseVerdict(Ending.ERROR, report)
 
     def parse_load_report(self, value: bytes) -> dict[str, float]:
         """Read a load report: a word, then fields; those that the settings do not name are passed over.
--- a/petrelhall/gateway/program.py
+++ b/petrelhall/gateway/program.py
@@ -29,8 +29,8 @@
 from petrelhall.gateway.platform import Platform
 from petrelhall.gateway.requests import RequestHandler
 from petrelhall.http.room import Room
-from petrelhall.links.plan import Plan
-from petrelhall.links.pool import Pool
+from petrelhall.links.plan import ConnectionPlan
+from petrelhall.links.pool import ConnectionPool
 from petrelhall.net.counts import Counts
 from petrelhall.net.log import Log
 from petrelhall.net.loop import Loop, now_ms
@@ -71,7 +71,7 @@
         reserved = RESERVED_DESCRIPTORS + (MAX_MANAGEMENT_CONNECTIONS if config.mgmt else 0)
         descriptors = max(20, min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0]) - reserved)
         client_descriptors = int(CLIENT_SHARE * descriptors)
-        connection_plan = Plan(
+        connection_plan = ConnectionPlan(
             operator_settings.links,
             descriptors - client_descriptors,
             config.conn_idle_ms,
@@ -80,7 +80,7 @@
             config.seed,
         )
         body_budget = Room(config.memory_mb)
-        self.pool = Pool(
+        self.pool = ConnectionPool(
             self.loop, self.fleet, platform, self.counts, connection_plan, config.connect_timeout_ms, body_budget
         )
         request_handler = RequestHandler(
--- a/petrelhall/gateway/requests.py
+++ b/petrelhall/gateway/requests.py
@@ -15,7 +15,7 @@
 
 from petrelhall.decide import interface as api
 from petrelhall.decide.interface import Ending
-from petrelhall.links.attempt import Reach, Result
+from petrelhall.links.attempt import AttemptProgress, AttemptResult
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, Steps, now_ms
 
@@ -90,7 +90,7 @@
         stopped: Callable[[], bool],
         free: bool = True,
         write_by: float = math.inf,
-    ) -> Steps[Result]:
+    ) -> Steps[AttemptResult]:
         """Make one attempt, not written after ``write_by``; ``free`` tells that a second run costs nothing."""
 
 
@@ -126,7 +126,9 @@
     def pools(self, request: Request) -> tuple[str, ...]:
         """Give the pools that a request may go to, in order; empty for all boxes."""
 
-    def ended(self, request: Request, pools: tuple[str, ...], server: str, result: Result, took_ms: float) -> None:
+    def ended(
+        self, request: Request, pools: tuple[str, ...], server: str, result: AttemptResult, took_ms: float
+    ) -> None:
         """Hear how a request's first attempt ended."""
 
 
@@ -263,12 +265,12 @@
                 self.counts.add("sent", result.ending.value)
                 if self.on_attempt_end is not None:
                     self.on_attempt_end(order.server, result.ending)
-                may_have_run |= result.reach > Reach.UNWRITTEN and result.ending is not Ending.FULL
+                may_have_run |= result.progress > AttemptProgress.UNWRITTEN and result.ending is not Ending.FULL
                 gone, over = caller.gone, now_ms() >= self.end_by  # looked at once for all that follows
                 if gone:  # before the attempt's end is told: no further one may follow from it
                     self.tell(api.ClientGone(ticket.id))
                 served = result.ending is Ending.OK
-                started = max(started, result.asked_at)  # a client's slow body is no slowness of the box
+                started = max(started, result.body_sent_at)  # a client's slow body is no slowness of the box
                 self.tell(
                     api.Outcome(
                         ticket.id,
--- a/petrelhall/gateway/shifting.py
+++ b/petrelhall/gateway/shifting.py
@@ -17,8 +17,8 @@
 from petrelhall.decide.interface import Ending
 from petrelhall.gateway.peers import SHIFT_KIND
 from petrelhall.gateway.requests import Request
-from petrelhall.links.attempt import Result
-from petrelhall.links.plan import Plan
+from petrelhall.links.attempt import AttemptResult
+from petrelhall.links.plan import ConnectionPlan
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, Timer, now_ms
 from petrelhall.operator.settings import Shift
@@ -41,7 +41,7 @@
         self,
         loop: Loop,
         fleet: Fleet,
-        connection_plan: Plan,
+        connection_plan: ConnectionPlan,
         on_event: Callable[[api.Event], None],
         counts: Counts,
         log: Callable[[str], None],
@@ -119,13 +119,15 @@
             self.plans[request.plan],
         ).pools
 
-    def ended(self, request: Request, pools: tuple[str, ...], server: str, result: Result, took_ms: float) -> None:
+    def ended(
+        self, request: Request, pools: tuple[str, ...], server: str, result: AttemptResult, took_ms: float
+    ) -> None:
         """Pass the outcome of a request's first attempt to the core.
 
         Attempts that spilt into another pool or met a cold server are left out, since nothing compares with them.
         """
         mover = self.mover
-        connections = self.connection_plan.boxes.get(server)
+        connections = self.connection_plan.servers.get(server)
         if mover is None or not pools or server not in self.pool_by_server or result.ending not in JUDGED_ENDINGS:
             return
         move, pool = mover.move, self.pool_by_server[server]
--- a/petrelhall/links/attempt.py
+++ b/petrelhall/links/attempt.py
@@ -11,7 +11,7 @@
 from petrelhall.http.h1 import Headers, Inflow, Reply
 
 
-class Reach(IntEnum):
+class AttemptProgress(IntEnum):
     """How far an attempt had come when it ended."""
 
     UNWRITTEN = 0  # not all of it written: it never ran
@@ -20,20 +20,20 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Result:
+class AttemptResult:
     """How an attempt ended. ``reply`` is the server's answer, in the front's own terms, where it is whole."""
 
     ending: Ending
-    reach: Reach
+    progress: AttemptProgress
     reason: str = ""
     reply: Any = None
     report: Mapping[str, float] = field(default_factory=dict)
     used: float | None = None
-    asked_at: float = 0.0  # Unix ms of the last byte of a body that was passed on as it came: from then on it ran
+    body_sent_at: float = 0.0  # Unix ms of the last byte of a body that was passed on as it came: from then on it ran
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class ResponseVerdict:
     """What a whole answer means."""
 
     ending: Ending
@@ -41,7 +41,7 @@
     used: float | None = None
 
 
-class Wording(Protocol):
+class RequestCodec(Protocol):
     """The platform's way to put an attempt."""
 
     def outgoing(self, message: Any, wait_ms: float) -> tuple[bytes, bytes, Headers, bytes]:
@@ -50,5 +50,5 @@
     def rest(self, message: Any) -> Inflow | None:
         """Give the rest of a body that is passed on as it comes, if the message has one."""
 
-    def verdict(self, reply: Reply) -> Verdict:
+    def verdict(self, reply: Reply) -> ResponseVerdict:
         """Read an answer."""
--- a/petrelhall/links/bounds.py
+++ b/petrelhall/links/bounds.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from petrelhall.links.inventory import Inventory
-from petrelhall.links.server import Box
+from petrelhall.links.server import ServerConnections
 from petrelhall.operator.settings import Links
 
 CUT, GROW_MS = 0.7, 1000.0  # bound at a server after it refused; time in which the bound grows by one
@@ -24,12 +24,15 @@
         self.most = min(settings.total or self.room, self.room)
         self.total = float(self.most)
 
-    def bound(self, now: float, box: Box) -> float:
+    def bound(self, now: float, box: ServerConnections) -> float:
         """Give how many connections a box may have now; a bound that was cut grows by one a second."""
         most = self.per_box
-        if box.bound < most and now - box.grown >= GROW_MS:
-            steps = int((now - box.grown) / GROW_MS)
-            box.bound, box.grown = min(float(most), box.bound + steps), box.grown + steps * GROW_MS
+        if box.bound < most and now - box.bound_changed_at >= GROW_MS:
+            steps = int((now - box.bound_changed_at) / GROW_MS)
+            box.bound, box.bound_changed_at = (
+                min(float(most), box.bound + steps),
+                box.bound_changed_at + steps * GROW_MS,
+            )
         return box.bound
 
     def bound_of_all(self, now: float) -> float:
@@ -40,10 +43,10 @@
             self.total_grown += steps * TOTAL_GROW_MS
         return self.total
 
-    def cut(self, now: float, box: Box, established: int) -> None:
+    def cut(self, now: float, box: ServerConnections, established: int) -> None:
         """A box holds as many connections as it wants: lower the bound to fewer than it refused."""
         box.bound = max(1.0, min(CUT * self.bound(now, box), float(max(1, established))))
-        box.grown = now
+        box.bound_changed_at = now
         self.inventory.counts["bound.cut"] += 1
 
     def cut_total(self, now: float) -> None:
--- a/petrelhall/links/connection.py
+++ b/petrelhall/links/connection.py
@@ -9,10 +9,10 @@
 from petrelhall.links.limits import NEVER
 
 if TYPE_CHECKING:
-    from petrelhall.links.server import Box
+    from petrelhall.links.server import ServerConnections
 
 
-class State(Enum):
+class ConnectionState(Enum):
     """Where a connection is in its life."""
 
     OPENING = "opening"
@@ -21,7 +21,7 @@
     CLOSED = "closed"
 
 
-class End(Enum):
+class ConnectFailure(Enum):
     """How an attempt to connect ended that brought no connection."""
 
     REFUSED = "refused"  # nobody listens, or the box holds as many as it wants
@@ -31,7 +31,7 @@
     LEFT = "left"  # given up, which tells nothing of the box
 
 
-class No(Enum):
+class Unavailable(Enum):
     """Why a request gets no connection at all."""
 
     UNLISTED = "not in the list"
@@ -45,28 +45,28 @@
     cause: str
 
 
-class Link:
+class ConnectionRecord:
     """One connection to a box."""
 
     __slots__ = (
-        "box",
+        "server",
         "state",
-        "opened",
+        "opened_at",
         "idle_since",
         "idle_ms",
         "uses",
-        "ahead",
-        "until",
-        "last_use",
-        "tried",
-        "carrier",
+        "preconnected",
+        "expires_at",
+        "max_uses",
+        "suspected",
+        "owner_data",
     )
 
-    def __init__(self, box: Box, now: float, ahead: bool) -> None:
-        self.box, self.state, self.opened, self.ahead = box, State.OPENING, now, ahead
+    def __init__(self, server: ServerConnections, now: float, preconnected: bool) -> None:
+        self.server, self.state, self.opened_at, self.preconnected = server, ConnectionState.OPENING, now, preconnected
         self.idle_since = 0.0  # when it was last put away
         self.idle_ms = -1.0  # how long it had lain idle when it was last taken; below 0: it never had
         self.uses = 0
-        self.until, self.last_use = NEVER, 0  # when, and after how many uses (0: any number), it is retired
-        self.tried = False  # it was in doubt when it was taken
-        self.carrier: Any = None  # the shell's own; nothing here looks at it
+        self.expires_at, self.max_uses = NEVER, 0  # when, and after how many uses (0: any number), it is retired
+        self.suspected = False  # it was in doubt when it was taken
+        self.owner_data: Any = None  # the shell's own; nothing here looks at it
--- a/petrelhall/links/inventory.py
+++ b/petrelhall/links/inventory.py
@@ -4,8 +4,8 @@
 
 from collections import Counter
 
-from petrelhall.links.connection import Link, State
-from petrelhall.links.server import Box
+from petrelhall.links.connection import ConnectionRecord, ConnectionState
+from petrelhall.links.server import ServerConnections
 
 
 class Inventory:
@@ -16,36 +16,38 @@
 
     def __init__(self) -> None:
         self.open = self.opening = 0
-        self.idle: dict[Link, None] = {}  # all idle connections, the longest idle first
-        self.leaving: dict[int, Box] = {}  # not listed any more, with connections still in use, by identity
-        self.closing: list[tuple[Link, str]] = []
+        self.idle: dict[ConnectionRecord, None] = {}  # all idle connections, the longest idle first
+        self.draining: dict[
+            int, ServerConnections
+        ] = {}  # not listed any more, with connections still in use, by identity
+        self.closing: list[tuple[ConnectionRecord, str]] = []
         self.counts: Counter[str] = Counter()
 
-    def retire(self, link: Link, cause: str) -> None:
+    def retire(self, record: ConnectionRecord, cause: str) -> None:
         """Take an idle connection out for good; the shell finds it in ``closing``."""
-        self.take_out(link, cause)
-        self.closing.append((link, cause))
+        self.remove_idle(record, cause)
+        self.closing.append((record, cause))
 
-    def take_out(self, link: Link, cause: str) -> None:
+    def remove_idle(self, record: ConnectionRecord, cause: str) -> None:
         """Count an idle connection out, and why."""
-        self.out_of_idle(link)
-        self.close_counted(link)
+        self.detach_idle(record)
+        self.mark_closed(record)
         self.counts["retired." + cause] += 1
 
-    def out_of_idle(self, link: Link) -> None:
+    def detach_idle(self, record: ConnectionRecord) -> None:
         """Take a connection out of the idle ones."""
-        idle = link.box.idle
-        if idle[-1] is link:
+        idle = record.server.idle
+        if idle[-1] is record:
             idle.pop()
-        elif idle[0] is link:
+        elif idle[0] is record:
             del idle[0]
         else:
-            idle.remove(link)
-        del self.idle[link]
+            idle.remove(record)
+        del self.idle[record]
 
-    def close_counted(self, link: Link) -> None:
+    def mark_closed(self, record: ConnectionRecord) -> None:
         """Count a connection out."""
-        link.state = State.CLOSED
+        record.state = ConnectionState.CLOSED
         self.open -= 1
-        if not link.box.listed and not link.box.open:
-            self.leaving.pop(id(link.box), None)
+        if not record.server.listed and not record.server.open:
+            self.draining.pop(id(record.server), None)
--- a/petrelhall/links/opening.py
+++ b/petrelhall/links/opening.py
@@ -5,9 +5,9 @@
 import random
 
 from petrelhall.links.bounds import Bounds
-from petrelhall.links.connection import Link, Wait
+from petrelhall.links.connection import ConnectionRecord, Wait
 from petrelhall.links.inventory import Inventory
-from petrelhall.links.server import Box
+from petrelhall.links.server import ServerConnections
 from petrelhall.links.slow_start import SlowStart
 from petrelhall.operator.settings import Links
 
@@ -26,7 +26,7 @@
         self.settings, self.inventory, self.bounds, self.slow_start = settings, inventory, bounds, slow_start
         self.random = draw
 
-    def hindered(self, now: float, box: Box) -> Wait | None:
+    def hindered(self, now: float, box: ServerConnections) -> Wait | None:
         """Say why no connection to a box may be opened now, if so; makes room where that can be had."""
         if box.open + 1 > self.bounds.bound(now, box):
             while box.idle and box.open + 1 > box.bound:  # idle, and yet not to be used: by this request at least
@@ -49,34 +49,39 @@
                 return Wait(RETRY_MS, "total")
         return None
 
-    def begin(self, now: float, box: Box, ahead: bool) -> Link:
+    def begin(self, now: float, box: ServerConnections, ahead: bool) -> ConnectionRecord:
         """Count a connection that the shell now begins to open."""
         inventory = self.inventory
-        link = Link(box, now, ahead)
+        link = ConnectionRecord(box, now, ahead)
         box.opening += 1
         inventory.opening += 1
         inventory.open += 1
-        box.opens += 1
+        box.open_count += 1
         if self.slow_start.cold(now, box):
             box.tokens -= 1.0
             inventory.counts["opened.cold"] += 1
-        box.most = max(box.most, box.open)
+        box.peak_open = max(box.peak_open, box.open)
         inventory.counts["opened.ahead" if ahead else "opened.needed"] += 1
         if self.settings.max_age_s:
-            link.until = now + 1000.0 * self.settings.max_age_s * self.jitter()
+            link.expires_at = now + 1000.0 * self.settings.max_age_s * self.jitter()
         if self.settings.max_uses:
-            link.last_use = max(1, int(self.settings.max_uses * self.jitter()))
+            link.max_uses = max(1, int(self.settings.max_uses * self.jitter()))
         return link
 
     def jitter(self) -> float:
         """Give a factor about one."""
         return 1.0 + SPREAD * (2.0 * self.random.random() - 1.0)
 
-    def open_ahead(self, now: float, box: Box, ahead: list[Link]) -> None:
+    def open_ahead(self, now: float, box: ServerConnections, ahead: list[ConnectionRecord]) -> None:
         """Open a spare beyond a box's recent use, where requests had to wait for new connections."""
-        if now < box.ahead_from or box.dead_at or box.kept_ms < WORTH_MS or self.slow_start.cold(now, box):
+        if (
+            now < box.preconnect_allowed_at
+            or box.found_dead_at
+            or box.idle_limit_ms < WORTH_MS
+            or self.slow_start.cold(now, box)
+        ):
             return
-        wanted = max(box.peak, box.last_peak) + self.settings.ahead
+        wanted = max(box.peak_in_use, box.previous_peak_in_use) + self.settings.ahead
         if box.open + 1 > min(
             wanted, self.bounds.bound(now, box)
         ) or self.inventory.open + 1 > self.bounds.bound_of_all(now):
@@ -84,10 +89,10 @@
         if self.hindered(now, box) is None:
             ahead.append(self.begin(now, box, True))
 
-    def unused(self, now: float, link: Link) -> None:
+    def unused(self, now: float, link: ConnectionRecord) -> None:
         """Learn from a connection that was opened ahead and never used: pause, longer each time."""
-        if link.ahead and not link.uses:
-            box = link.box
-            box.ahead_from = now + min(PAUSE_MOST_MS, PAUSE_MS * 2.0 ** min(10, box.wasted))
-            box.wasted += 1
+        if link.preconnected and not link.uses:
+            box = link.server
+            box.preconnect_allowed_at = now + min(PAUSE_MOST_MS, PAUSE_MS * 2.0 ** min(10, box.wasted_preconnects))
+            box.wasted_preconnects += 1
             self.inventory.counts["ahead.wasted"] += 1
--- a/petrelhall/links/reuse.py
+++ b/petrelhall/links/reuse.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable
 
-from petrelhall.links.connection import Link
+from petrelhall.links.connection import ConnectionRecord
 from petrelhall.links.inventory import Inventory
-from petrelhall.links.server import Box
+from petrelhall.links.server import ServerConnections
 from petrelhall.links.staleness import Staleness
 
 FRESH_MS = 1000.0  # between two looks at what a server's kept connections have shown, unless one died
@@ -23,16 +23,16 @@
     def __init__(self, order: str, inventory: Inventory, staleness: Staleness) -> None:
         self.order, self.inventory, self.staleness = order, inventory, staleness
 
-    def pick(self, now: float, box: Box, free: bool) -> Link | None:
+    def pick(self, now: float, box: ServerConnections, free: bool) -> ConnectionRecord | None:
         """Choose among a box's idle connections; those that are not to be used again are retired on the way."""
-        if now - box.looked > FRESH_MS:
+        if now - box.limits_updated_at > FRESH_MS:
             self.staleness.look(now, box)
-        kept = min(box.kept_ms, box.hold_ms)
+        kept = min(box.idle_limit_ms, box.provisional_idle_limit_ms)
         while box.idle and now - box.idle[0].idle_since >= kept:  # the longest idle come first
             self.inventory.retire(box.idle[0], "idle")
         if not box.idle:
             return None
-        sure = kept if free else min(kept, box.sure_ms)
+        sure = kept if free else min(kept, box.proven_idle_limit_ms)
         order = self.order
         if order == "last_used":
             # One that will be wanted again, since as many were in use just now, is used before it grows too old:
@@ -42,35 +42,35 @@
             if (
                 age > REFRESH * kept
                 and age < sure
-                and box.open <= max(box.peak, box.last_peak)
-                and now < oldest.until
-                and oldest.idle_since >= box.doubt
+                and box.open <= max(box.peak_in_use, box.previous_peak_in_use)
+                and now < oldest.expires_at
+                and oldest.idle_since >= box.suspected_before
             ):
                 return oldest
-            candidates: Iterable[Link] = reversed(box.idle)
+            candidates: Iterable[ConnectionRecord] = reversed(box.idle)
         elif order == "oldest":
-            candidates = sorted(box.idle, key=lambda link: link.opened)
+            candidates = sorted(box.idle, key=lambda link: link.opened_at)
         else:
             candidates = sorted(box.idle, key=lambda link: link.uses)
         for link in candidates:
             if link.uses and now - link.idle_since < REST_MS:
                 continue
-            if now >= link.until:
+            if now >= link.expires_at:
                 self.inventory.retire(link, "age")
                 return self.pick(now, box, free)
             if now - link.idle_since >= sure:
                 if order == "last_used":
                     return None  # all others have been idle for longer
                 continue
-            link.tried = link.idle_since < box.doubt
-            if link.tried:
-                if not free or box.trying:
+            link.suspected = link.idle_since < box.suspected_before
+            if link.suspected:
+                if not free or box.probing_suspect:
                     continue
-                box.trying = True
+                box.probing_suspect = True
             return link
         return None
 
-    def resting(self, now: float, box: Box, wait_ms: float) -> float:
+    def resting(self, now: float, box: ServerConnections, wait_ms: float) -> float:
         """Give the ms after which a box's latest answered connection may be used, 0 where none is worth waiting for.
 
         A new connection costs its box work and takes longer than that; nor is the resting one to be closed for it.
@@ -78,5 +78,5 @@
         long a request may wait for a connection.
         """
         left = REST_MS - (now - box.idle[-1].idle_since) if box.idle and box.idle[-1].uses else 0.0
-        often = box.rests >= RESTS and box.open + 1 <= box.bound
+        often = box.rest_waits >= RESTS and box.open + 1 <= box.bound
         return max(1.0, left) if 0.0 < left and wait_ms > REST_MS and not often else 0.0
--- a/petrelhall/links/slow_start.py
+++ b/petrelhall/links/slow_start.py
@@ -5,7 +5,7 @@
 import random
 
 from petrelhall.links.limits import NEVER
-from petrelhall.links.server import Box
+from petrelhall.links.server import ServerConnections
 from petrelhall.operator.settings import Cold, Links
 
 UNTOLD_MS = 10000.0  # for which a started server is cold, where neither platform nor operators say
@@ -24,23 +24,23 @@
         self.settings: Cold = settings.cold
         self.cold_ms = settings.cold.ms or self.platform_cold_ms or UNTOLD_MS
 
-    def begin(self, now: float, box: Box, since: float) -> None:
+    def begin(self, now: float, box: ServerConnections, since: float) -> None:
         """A box has just started: its first connections come at a pace, and not from all gateways at once."""
-        box.since = since
+        box.cold_since = since
         if self.cold(now, box):
             # Spread over the time in which the pace gives each gateway one.
             box.tokens = 1.0 - self.random.random() * (1.0 if self.gateways > 1 else 0.0)
-            box.tokens_at = now
-            box.warm_at = NEVER
+            box.tokens_updated_at = now
+            box.warm_up_at = NEVER
 
-    def cold(self, now: float, box: Box) -> bool:
+    def cold(self, now: float, box: ServerConnections) -> bool:
         """Tell whether a box is still warming up."""
-        return bool(box.since) and now - box.since < self.cold_ms
+        return bool(box.cold_since) and now - box.cold_since < self.cold_ms
 
-    def fill(self, now: float, box: Box) -> float:
+    def fill(self, now: float, box: ServerConnections) -> float:
         """Bring a cold box's tokens up to date, and give this gateway's pace in connections a second."""
-        warmth = min(1.0, max(0.0, (now - box.since) / self.cold_ms))
+        warmth = min(1.0, max(0.0, (now - box.cold_since) / self.cold_ms))
         rate = self.settings.per_s * (1.0 + (RAMP - 1.0) * warmth) / self.gateways
-        box.tokens = min(1.0, box.tokens + rate * (now - box.tokens_at) / 1000.0)
-        box.tokens_at = now
+        box.tokens = min(1.0, box.tokens + rate * (now - box.tokens_updated_at) / 1000.0)
+        box.tokens_updated_at = now
         return rate
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -13,7 +13,7 @@
 from petrelhall.decide.interface import Ending
 from petrelhall.gateway.requests import Request, RequestHandler
 from petrelhall.http.room import KEEP_EACH, LEAST_EACH, MOST_EACH, Room
-from petrelhall.links.attempt import Reach, Result
+from petrelhall.links.attempt import AttemptProgress, AttemptResult
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, Steps, now_ms
 from petrelhall.net.stream import Stream
@@ -144,9 +144,9 @@
         loop, told = Loop(print), list[Any]()
 
         class Servers:
-            def attempt(self, *args: Any) -> Steps[Result]:
+            def attempt(self, *args: Any) -> Steps[AttemptResult]:
                 yield from loop.sleep(150.0)
-                return Result(Ending.OK, Reach.ANSWERED, asked_at=now_ms() - 5.0)
+                return AttemptResult(Ending.OK, AttemptProgress.ANSWERED, body_sent_at=now_ms() - 5.0)
 
         class Caller:
             gone = False
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -26,9 +26,9 @@
 from petrelhall.gateway.platform import ForwardedRequest, Platform
 from petrelhall.gateway.requests import Refused, Request, RequestHandler
 from petrelhall.http.h1 import Message
-from petrelhall.links.attempt import Reach
-from petrelhall.links.plan import Plan
-from petrelhall.links.pool import Pool
+from petrelhall.links.attempt import AttemptProgress
+from petrelhall.links.plan import ConnectionPlan
+from petrelhall.links.pool import ConnectionPool
 from petrelhall.net.counts import Counts
 from petrelhall.net.log import Log
 from petrelhall.net.loop import Loop, now_ms
@@ -604,7 +604,7 @@
             fleet = Fleet(("a",))
             fleet.take({"version": 1, "full": True, "servers": [entry("s0", address(server))]})
             platform = Platform(read_settings(PROFILE), ("view", "change"), ("plan",))
-            pool = Pool(self.loop, fleet, platform, self.counts, Plan(Links(), 10, 30000.0), 5000.0)
+            pool = ConnectionPool(self.loop, fleet, platform, self.counts, ConnectionPlan(Links(), 10, 30000.0), 5000.0)
             results: list[Any] = []
 
             def attempt() -> Any:
@@ -616,7 +616,7 @@
             fleet.take({"version": 2, "full": False, "servers": [drains]})
             server.accept()[0].close()  # room in the queue: the connection comes up
             self.turn_until(lambda: results)
-            self.assertEqual(results[0].reach, Reach.UNWRITTEN)
+            self.assertEqual(results[0].progress, AttemptProgress.UNWRITTEN)
             self.assertEqual(results[0].ending, Ending.MOOT)
             self.assertEqual(pool.open, 0)
 
@@ -650,7 +650,7 @@
             fleet = Fleet(("a",))
             fleet.take({"version": 1, "full": True, "servers": [entry("s0", address(server), "Ready")]})
             platform = Platform(read_settings(PROFILE), ("view", "change"), ("plan",))
-            pool = Pool(self.loop, fleet, platform, self.counts, Plan(Links(), 10, 30000.0), 250.0)
+            pool = ConnectionPool(self.loop, fleet, platform, self.counts, ConnectionPlan(Links(), 10, 30000.0), 250.0)
             results: list[Any] = []
 
             def attempt() -> Any:
@@ -658,7 +658,7 @@
 
             self.loop.spawn(attempt())
             self.turn_until(lambda: results)
-            self.assertEqual((results[0].ending, results[0].reach), (Ending.MOOT, Reach.UNWRITTEN))
+            self.assertEqual((results[0].ending, results[0].progress), (Ending.MOOT, AttemptProgress.UNWRITTEN))
             self.assertEqual(pool.open, 0)
 
     def test_a_customers_set_and_the_price_of_a_handshake_reach_the_module(self) -> None:
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -30,9 +30,9 @@
 from petrelhall.http.h1 import Message
 from petrelhall.http.room import Room
 from petrelhall.links import reuse
-from petrelhall.links.attempt import Reach
-from petrelhall.links.plan import Plan
-from petrelhall.links.pool import Pool
+from petrelhall.links.attempt import AttemptProgress
+from petrelhall.links.plan import ConnectionPlan
+from petrelhall.links.pool import ConnectionPool
 from petrelhall.net import loop as net_loop
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, Task, now_ms
@@ -63,8 +63,8 @@
         self.fleet.take({"version": 1, "full": True, "servers": [entry("s0", address(self.server))]})
         self.settings = read_settings(PROFILE)
         self.platform = Platform(self.settings, ("view", "change"), ("plan",))
-        self.plan = Plan(Links(), 10, 30000.0)
-        self.pool = Pool(self.loop, self.fleet, self.platform, self.counts, self.plan, 5000.0)
+        self.plan = ConnectionPlan(Links(), 10, 30000.0)
+        self.pool = ConnectionPool(self.loop, self.fleet, self.platform, self.counts, self.plan, 5000.0)
         self.results: list[Any] = []
 
     def gateway(self, most: int = 20) -> Listener:
@@ -171,7 +171,7 @@
             sock.setblocking(False)
             with contextlib.suppress(BlockingIOError):
                 self.assertEqual(sock.recv(100), b"")  # and was never written to
-        self.assertEqual((self.results[0].ending, self.results[0].reach), (Ending.MOOT, Reach.UNWRITTEN))
+        self.assertEqual((self.results[0].ending, self.results[0].progress), (Ending.MOOT, AttemptProgress.UNWRITTEN))
 
     def test_a_repeat_whose_window_is_over_when_its_connection_comes_up_is_not_written(self) -> None:
         with self.late():
@@ -196,7 +196,7 @@
             self.fleet.take({"version": 2, "full": True, "servers": [entry("s0", address(server))]})
             self.attempt(until_ms=60.0)
             self.turn_until(lambda: self.results)
-        self.assertEqual((self.results[0].ending, self.results[0].reach), (Ending.MOOT, Reach.UNWRITTEN))
+        self.assertEqual((self.results[0].ending, self.results[0].progress), (Ending.MOOT, AttemptProgress.UNWRITTEN))
 
     def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_requests(self) -> None:
         self.patch(reuse, REST_MS=300.0)  # so that a slow machine is in time
@@ -217,7 +217,7 @@
         self.turn_until(lambda: len(self.results) == 2)
         self.assertEqual([result.reply.body for result in self.results], [b"one", b"two"])
         self.assertEqual(self.plan.counts["retired.spoilt"], 1)
-        self.assertFalse(self.plan.boxes["s0"].deaths)  # no word on how long idle connections are kept
+        self.assertFalse(self.plan.servers["s0"].unsettled_deaths)  # no word on how long idle connections are kept
 
     def test_a_request_rests_no_longer_than_a_second_answer_may_be_late(self) -> None:
         self.attempt()
@@ -238,7 +238,7 @@
     def test_a_close_that_crosses_a_long_turn_is_seen_before_the_attempt_is_written(self) -> None:
         self.gateway()
         client = self.client(ask())
-        original, crossed = self.pool.hindrance, []
+        original, crossed = self.pool.check_before_write, []
 
         def crossing(*values: Any) -> Any:
             if not crossed:
@@ -246,7 +246,7 @@
                 self.loop.looked_at -= 1000.0  # this turn has gone on for a second since the sockets were asked
             return original(*values)
 
-        self.patch(self.pool, hindrance=crossing)
+        self.patch(self.pool, check_before_write=crossing)
         server = self.accept()
         self.turn_until(lambda: self.counts.get("answered", "client_left"))
         self.assertEqual(self.counts.get("sent", "moot"), 1)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -15,9 +15,9 @@
 from petrelhall.decide.settings import read_settings
 from petrelhall.gateway.platform import ForwardedRequest, Platform
 from petrelhall.http.h1 import Message
-from petrelhall.links.attempt import Reach
-from petrelhall.links.plan import Plan
-from petrelhall.links.pool import Pool
+from petrelhall.links.attempt import AttemptProgress
+from petrelhall.links.plan import ConnectionPlan
+from petrelhall.links.pool import ConnectionPool
 from petrelhall.links.reuse import REST_MS
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, Task, now_ms
@@ -41,13 +41,13 @@
         self.held: list[socket.socket] = []
         self.addCleanup(lambda: [sock.close() for sock in self.held])
 
-    def pool(self, **links: Any) -> Pool:
+    def pool(self, **links: Any) -> ConnectionPool:
         self.fleet.take({"version": 1, "full": True, "servers": [entry("s0", address(self.box))]})
         platform = Platform(read_settings(PROFILE), ("view", "change"), ("plan",))
-        self.plan = Plan(Links(**links), 10, 30000.0)
-        return Pool(self.loop, self.fleet, platform, self.counts, self.plan, 500.0)
+        self.plan = ConnectionPlan(Links(**links), 10, 30000.0)
+        return ConnectionPool(self.loop, self.fleet, platform, self.counts, self.plan, 500.0)
 
-    def attempt(self, pool: Pool, within_ms: float = 5000.0, free: bool = True) -> None:
+    def attempt(self, pool: ConnectionPool, within_ms: float = 5000.0, free: bool = True) -> None:
         def steps() -> Any:
             until = now_ms() + within_ms
             self.results.append((yield from pool.attempt("s0", ASKED, until, lambda: False, free)))
@@ -115,9 +115,9 @@
         self.asked(sock)
         self.attempt(pool)
         self.turn_until(lambda: self.results)
-        self.assertEqual((self.results[0].ending, self.results[0].reach), (Ending.MOOT, Reach.UNWRITTEN))
+        self.assertEqual((self.results[0].ending, self.results[0].progress), (Ending.MOOT, AttemptProgress.UNWRITTEN))
         self.assertIn("box_bound", self.results[0].reason)
-        self.assertEqual(pool.waiting, {})
+        self.assertEqual(pool.waiters, {})
 
     def test_a_crowd_of_waiting_requests_is_served_in_turn_and_none_forgotten(self) -> None:
         pool = self.pool(per_box=2, wait_ms=4000.0)
@@ -129,7 +129,7 @@
                 if len(self.results) < 30:
                     self.serve(sock)
         self.assertEqual({result.ending for result in self.results}, {Ending.OK})
-        self.assertEqual((self.plan.counts["opened.needed"], pool.waiting), (2, {}))
+        self.assertEqual((self.plan.counts["opened.needed"], pool.waiters), (2, {}))
 
     def test_a_connection_that_closed_while_idle_is_not_written_to_and_teaches(self) -> None:
         pool = self.pool()
@@ -146,7 +146,9 @@
         pool = self.pool()
         self.attempt(pool)
         self.serve(self.accept())
-        self.plan.boxes["s0"].idle[0].idle_since -= REST_MS  # rested: nothing but the look at the socket is in the way
+        self.plan.servers["s0"].idle[
+            0
+        ].idle_since -= REST_MS  # rested: nothing but the look at the socket is in the way
         self.held[0].close()
         steps = pool.attempt("s0", ASKED, now_ms() + 1000.0, lambda: False)
         self.addCleanup(steps.close)
@@ -174,7 +176,7 @@
             sock.settimeout(PATIENCE_S)
             self.assertEqual(sock.recv(100), b"")
             sock.close()
-        self.assertEqual((self.results[0].ending, self.results[0].reach), (Ending.MOOT, Reach.UNWRITTEN))
+        self.assertEqual((self.results[0].ending, self.results[0].progress), (Ending.MOOT, AttemptProgress.UNWRITTEN))
 
     def test_a_silent_box_puts_the_siblings_of_the_silent_connection_in_doubt(self) -> None:
         pool = self.pool()
@@ -198,14 +200,14 @@
         self.asked(self.held[0])
         self.held[0].close()
         self.turn_until(lambda: len(self.results) > 1)
-        self.assertEqual((self.results[1].ending, self.results[1].reach), (Ending.RESET, Reach.WRITTEN))
+        self.assertEqual((self.results[1].ending, self.results[1].progress), (Ending.RESET, AttemptProgress.WRITTEN))
         self.assertEqual((self.plan.counts["stale"], pool.open), (1, 0))
 
     def test_the_box_s_word_in_keep_alive_is_heard(self) -> None:
         pool = self.pool()
         self.attempt(pool)
         self.serve(self.accept(), "Keep-Alive: timeout=5, max=100")
-        self.assertEqual(self.plan.boxes["s0"].hint_ms, 5000.0)
+        self.assertEqual(self.plan.servers["s0"].keep_alive_hint_ms, 5000.0)
 
     def test_connection_close_is_obeyed(self) -> None:
         pool = self.pool()
@@ -233,7 +235,7 @@
         self.assertEqual({result.ending for result in self.results[1:]}, {Ending.MOOT})
         self.assertLess(len(calls), 5)  # the bound on all fell to what there is
         self.assertEqual(self.plan.counts["failed.ours"], len(calls))
-        self.assertEqual(self.plan.boxes["s0"].bound, 64.0)
+        self.assertEqual(self.plan.servers["s0"].bound, 64.0)
         self.assertEqual(self.plan.open, 1)
 
     def test_a_spare_opened_ahead_serves_the_next_request(self) -> None:
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -21,8 +21,8 @@
 from petrelhall.decide.settings import read_settings
 from petrelhall.gateway.requests import Request
 from petrelhall.gateway.shifting import TrafficShifter
-from petrelhall.links.attempt import Reach, Result
-from petrelhall.links.plan import Plan
+from petrelhall.links.attempt import AttemptProgress, AttemptResult
+from petrelhall.links.plan import ConnectionPlan
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, now_ms
 from petrelhall.operator.file import OperatorError, parse
@@ -456,7 +456,7 @@
                 "servers": [entry("old-1", "127.0.0.1:1"), entry("new-1", "127.0.0.1:2"), entry("odd", "127.0.0.1:3")],
             }
         )
-        self.plan = Plan(Links(), 10, 30000.0, 10000.0)
+        self.plan = ConnectionPlan(Links(), 10, 30000.0, 10000.0)
         self.shifter = self.shifter_of_a_gateway()
 
     def shifter_of_a_gateway(self) -> TrafficShifter:
@@ -476,7 +476,7 @@
 
     def end(self, server: str, pools: tuple[str, ...], ending: Ending = Ending.OK, kind: int = 0) -> None:
         request = Request(kind, 0, "d", 100.0, 1.0, 1, False, None, b"r")
-        self.shifter.ended(request, pools, server, Result(ending, Reach.ANSWERED), 10.0)
+        self.shifter.ended(request, pools, server, AttemptResult(ending, AttemptProgress.ANSWERED), 10.0)
 
     @property
     def evidence(self) -> int:
@@ -499,7 +499,7 @@
         self.end("old-1", ("old",), Ending.CANCELLED)
         self.assertEqual(self.evidence, 1)
         now = now_ms()
-        self.plan.listed(now - 1.0, "new-1", ("127.0.0.1", 2), now - 1.0)
+        self.plan.add_server(now - 1.0, "new-1", ("127.0.0.1", 2), now - 1.0)
         self.end("new-1", ("new", "old"))
         self.assertEqual((self.evidence, self.counts.get("shift", "cold_left_out")), (1, 1))
 
