--- a/petrelhall/links/__init__.py
+++ b/petrelhall/links/__init__.py
@@ -1,1 +1,1 @@
-"""Connections to boxes: what to open, keep, use and retire, and the sockets that carry it out."""
+"""Connections to servers: deciding which to open, reuse and retire, and the socket code that does it."""
--- a/petrelhall/links/attempt.py
+++ b/petrelhall/links/attempt.py
@@ -1,4 +1,4 @@
-"""What an attempt at a box came to, as values: how far it got, how it ended, what the answer means."""
+"""Value types for one attempt at a server: its progress, its result and the verdict on its response."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 
 
 class AttemptProgress(IntEnum):
-    """How far an attempt had come when it ended."""
+    """How far an attempt had progressed when it ended."""
 
-    UNWRITTEN = 0  # not all of it written: it never ran
-    WRITTEN = 1  # it may have run
-    ANSWERED = 2  # an answer came whole
+    UNWRITTEN = 0  # not completely written, so the server did not run it
+    WRITTEN = 1  # the server may have run it
+    ANSWERED = 2  # a complete response was received
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended. ``reply`` is the server's answer, in the front's own terms, where it is whole."""
+    """Result of an attempt. ``reply`` is the server's response, in the gateway's HTTP types, if it is complete."""
 
     ending: Ending
     progress: AttemptProgress
@@ -29,12 +29,12 @@
     reply: Any = None
     report: Mapping[str, float] = field(default_factory=dict)
     used: float | None = None
-    body_sent_at: float = 0.0  # Unix ms of the last byte of a body that was passed on as it came: from then on it ran
+    body_sent_at: float = 0.0  # Unix ms of the last byte of a streamed body; the server runs the request from then on
 
 
 @dataclass(frozen=True, slots=True)
 class ResponseVerdict:
-    """What a whole answer means."""
+    """Interpretation of a complete response."""
 
     ending: Ending
     report: Mapping[str, float]
@@ -42,13 +42,13 @@
 
 
 class RequestCodec(Protocol):
-    """The platform's way to put an attempt."""
+    """Encodes requests and interprets responses in the platform's format."""
 
     def outgoing(self, message: Any, wait_ms: float) -> tuple[bytes, bytes, Headers, bytes]:
-        """Give method, target, headers and body."""
+        """Return method, target, headers and body."""
 
     def rest(self, message: Any) -> Inflow | None:
-        """Give the rest of a body that is passed on as it comes, if the message has one."""
+        """Return the remainder of a streamed request body, if the message has one."""
 
     def verdict(self, reply: Reply) -> ResponseVerdict:
-        """Read an answer."""
+        """Interpret a response."""
--- a/petrelhall/links/connection.py
+++ b/petrelhall/links/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server, the states it goes through, and how an attempt to get one may end. Pure."""
+"""State of one connection to a server, and the outcomes of asking for one. No I/O."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ConnectionState(Enum):
-    """Where a connection is in its life."""
+    """Lifecycle state of a connection."""
 
     OPENING = "opening"
     BUSY = "busy"
@@ -22,31 +22,31 @@
 
 
 class ConnectFailure(Enum):
-    """How an attempt to connect ended that brought no connection."""
+    """Why opening a connection failed."""
 
-    REFUSED = "refused"  # nobody listens, or the box holds as many as it wants
-    RESET = "reset"  # someone took it and ended it
-    SILENT = "silent"  # it did not come up in its time
-    OURS = "ours"  # this machine has no descriptor, or no room
-    LEFT = "left"  # given up, which tells nothing of the box
+    REFUSED = "refused"  # nobody listens, or the server is at its connection limit
+    RESET = "reset"  # accepted, then reset
+    SILENT = "silent"  # not established within the connect timeout
+    OURS = "ours"  # local: this machine is out of file descriptors or memory
+    LEFT = "left"  # abandoned by the gateway, which says nothing about the server
 
 
 class Unavailable(Enum):
-    """Why a request gets no connection at all."""
+    """Why no connection can be provided at all."""
 
     UNLISTED = "not in the list"
 
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """Nothing may be opened now: ask again after so many ms, or when a connection of the box comes free."""
+    """No connection may be opened now: ask again after ``ms``, or when a connection to the server is released."""
 
     ms: float
     cause: str
 
 
 class ConnectionRecord:
-    """One connection to a box."""
+    """The plan's record of one connection to a server."""
 
     __slots__ = (
         "server",
@@ -64,9 +64,9 @@
 
     def __init__(self, server: ServerConnections, now: float, preconnected: bool) -> None:
         self.server, self.state, self.opened_at, self.preconnected = server, ConnectionState.OPENING, now, preconnected
-        self.idle_since = 0.0  # when it was last put away
-        self.idle_ms = -1.0  # how long it had lain idle when it was last taken; below 0: it never had
+        self.idle_since = 0.0  # when it last became idle
+        self.idle_ms = -1.0  # idle time before the current use; negative if it has not been idle
         self.uses = 0
-        self.expires_at, self.max_uses = NEVER, 0  # when, and after how many uses (0: any number), it is retired
-        self.suspected = False  # it was in doubt when it was taken
-        self.owner_data: Any = None  # the shell's own; nothing here looks at it
+        self.expires_at, self.max_uses = NEVER, 0  # retired at this time or after this many uses (0: unlimited)
+        self.suspected = False  # whether it was suspected dead when it was acquired
+        self.owner_data: Any = None  # set and read by the connection pool only
--- a/petrelhall/links/inventory.py
+++ b/petrelhall/links/inventory.py
@@ -1,4 +1,4 @@
-"""All connections of one gateway: how many there are, which are idle, and which are to be closed. Pure."""
+"""All connections of one gateway: counts, idle connections and connections to close. No I/O."""
 
 from __future__ import annotations
 
@@ -9,33 +9,31 @@
 
 
 class Inventory:
-    """Every connection from the moment that it begins to come up until it is closed.
+    """Tracks every connection from the start of connecting until it is closed.
 
-    ``closing`` holds what is to be closed, with the cause, until the shell takes it.
+    ``closing`` lists connections to close, with the cause, until the connection pool closes them.
     """
 
     def __init__(self) -> None:
         self.open = self.opening = 0
-        self.idle: dict[ConnectionRecord, None] = {}  # all idle connections, the longest idle first
-        self.draining: dict[
-            int, ServerConnections
-        ] = {}  # not listed any more, with connections still in use, by identity
+        self.idle: dict[ConnectionRecord, None] = {}  # all idle connections, longest idle first
+        self.draining: dict[int, ServerConnections] = {}  # no longer listed but with connections in use; keyed by id()
         self.closing: list[tuple[ConnectionRecord, str]] = []
         self.counts: Counter[str] = Counter()
 
     def retire(self, record: ConnectionRecord, cause: str) -> None:
-        """Take an idle connection out for good; the shell finds it in ``closing``."""
+        """Remove an idle connection and queue it in ``closing``."""
         self.remove_idle(record, cause)
         self.closing.append((record, cause))
 
     def remove_idle(self, record: ConnectionRecord, cause: str) -> None:
-        """Count an idle connection out, and why."""
+        """Remove an idle connection and count the cause."""
         self.detach_idle(record)
         self.mark_closed(record)
         self.counts["retired." + cause] += 1
 
     def detach_idle(self, record: ConnectionRecord) -> None:
-        """Take a connection out of the idle ones."""
+        """Remove a connection from the idle lists."""
         idle = record.server.idle
         if idle[-1] is record:
             idle.pop()
@@ -46,7 +44,7 @@
         del self.idle[record]
 
     def mark_closed(self, record: ConnectionRecord) -> None:
-        """Count a connection out."""
+        """Mark a connection as closed and update the totals."""
         record.state = ConnectionState.CLOSED
         self.open -= 1
         if not record.server.listed and not record.server.open:
--- a/petrelhall/links/plan.py
+++ b/petrelhall/links/plan.py
@@ -1,11 +1,11 @@
-"""Which connection a request goes on, and what is opened, kept and retired. Pure: the time is handed in.
-
-The decision module picks the server; this core picks the connection. It holds no socket: a shell (``links.pool``)
-tells it of what happens to connections, asks it for one, and carries out what it lists in ``closing``. Every
-connection is a ``Link`` from the moment that it begins to come up until it is closed, and counts against the
-bounds for all that time. Each of the plan's jobs has a module: ``inventory`` counts connections, ``bounds`` says how
-many there may be, ``slow_start`` at which pace they come, ``opening`` which are begun, ``reuse`` which idle one is
-taken, ``staleness`` how long they are kept.
+"""Decides which connection a request uses, and which are opened, kept and retired. No I/O; time is a parameter.
+
+The decision module picks the server; this class picks the connection. It holds no sockets: ``links.pool``
+reports connection events to it, asks it for connections and closes those it lists in ``closing``. Every connection
+has a ``ConnectionRecord`` from the start of connecting until it is closed, and counts against the bounds for all that
+time. Each responsibility has a module: ``inventory`` counts connections, ``bounds`` says how
+many there may be, ``slow_start`` how fast they are opened, ``opening`` which are opened, ``reuse`` which idle one is
+used, ``staleness`` how long they are kept.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
     "Wait",
 ]
 
-ALIVE_AFTER_RESPONSE_MS = 1500.0  # after an answer in which a server is held to live, though it refused a connection
-MAX_REFUSALS = 3  # in a row, without an answer between, after which a server that lived is taken for dead
-MAX_LIMIT_UPDATES_PER_TICK = 64  # of those in one tick, so that thousands of servers don't hold up serving
-PEAK_WINDOW_MS = 1000.0  # in which the peak of a server's use is taken
+ALIVE_AFTER_RESPONSE_MS = 1500.0  # after a response, a server counts as alive although it refuses a connection
+MAX_REFUSALS = 3  # consecutive refusals without a response after which a live server counts as dead
+MAX_LIMIT_UPDATES_PER_TICK = 64  # so that thousands of servers do not delay request handling
+PEAK_WINDOW_MS = 1000.0  # window for measuring a server's peak use
 
 
 class ConnectionPlan:
-    """The connections of one gateway. ``closing`` holds what is to be closed, with the cause, until it is taken."""
+    """All connections of one gateway. ``closing`` lists connections to close, with the cause."""
 
     def __init__(
         self, settings: Links, room: int, idle_ms: float, cold_ms: float = 0.0, gateways: int = 1, seed: int = 0
@@ -57,7 +57,7 @@
         self.staleness = Staleness(settings, idle_ms, inventory, self.slow_start)
         self.reuse = Reuse(settings.reuse, inventory, self.staleness)
         self.opener = Opening(settings, inventory, self.bounds, self.slow_start, rng)
-        # The same objects as the inventory's and the methods themselves, since shells use them for each request.
+        # Direct references to the inventory's objects and bound methods, since callers use them for each request.
         self.idle, self.closing = inventory.idle, inventory.closing
         self.draining, self.counts = inventory.draining, inventory.counts
         self.cold, self.bound = self.slow_start.cold, self.bounds.bound
@@ -65,16 +65,16 @@
 
     @property
     def open(self) -> int:
-        """Give how many connections there are."""
+        """Number of connections."""
         return self.inventory.open
 
     @property
     def opening(self) -> int:
-        """Give how many connections are coming up."""
+        """Number of connections being opened."""
         return self.inventory.opening
 
     def configure(self, settings: Links) -> None:
-        """Take other settings over. What is open beyond new bounds is closed as it comes free."""
+        """Apply new settings. Connections beyond the new bounds are closed as they become free."""
         self.settings = self.opener.settings = settings
         self.reuse.order = settings.reuse
         self.bounds.configure(settings)
@@ -88,16 +88,16 @@
         while self.idle and self.inventory.open > self.bounds.most:
             self.inventory.retire(next(iter(self.idle)), "bound")
 
-    # The list of boxes
+    # Server list
 
     def add_server(self, now: float, server_id: str, address: object, started_ms: float | None) -> None:
-        """A box is in the list and wants work; ``started_ms`` is Unix time, 0 for long ago, None for untold.
+        """Add or update a server that accepts work; ``started_ms`` is Unix time, 0: long ago, None: not reported.
 
-        At a new address it is another box, whose connections have nothing to do with those there were.
+        At a new address it is treated as a different server: existing connections are retired.
         """
         server = self.servers.get(server_id)
         if server is not None and server.address == address:
-            if started_ms and started_ms > server.started:  # anew where it was: what was open leads nowhere
+            if started_ms and started_ms > server.started:  # restarted at the same address: older connections are dead
                 server.started = started_ms
                 if started_ms > server.cold_since:
                     self.slow_start.begin(now, server, started_ms)
@@ -114,15 +114,15 @@
         server.started = started_ms or 0.0
         if started_ms:
             self.slow_start.begin(now, server, started_ms)
-        elif started_ms is None and now > self.first_listed_at:  # it joined while we looked on
+        elif started_ms is None and now > self.first_listed_at:  # it joined after the first server list
             self.slow_start.begin(now, server, now)
         if self.settings.warm_up_ms and now == self.first_listed_at and not self.cold(now, server):
-            # Each gateway has an order of its own, so that those started together do not meet at one box.
+            # Each gateway uses its own order, so that gateways started together do not connect to one server at once.
             offset = zlib.crc32(f"{self.seed}/{server_id}".encode()) / 2.0**32
             server.warm_up_at = now + offset * self.settings.warm_up_ms
 
     def remove_server(self, server_id: str, cause: str = "unlisted") -> None:
-        """A box drains or is gone: what is idle is closed now, what is in use after its answer."""
+        """Remove a draining or missing server: close idle connections now and busy ones after their response."""
         server = self.servers.pop(server_id, None)
         if server is None:
             return
@@ -135,9 +135,9 @@
     # Requests
 
     def acquire(self, now: float, server_id: str, repeatable: bool) -> ConnectionRecord | Wait | Unavailable:
-        """Give a connection for a request: an idle one, BUSY, or a new one, OPENING; or say to wait, or No.
+        """Return a connection for a request (an idle one, now BUSY, or a new one, OPENING), or Wait or Unavailable.
 
-        ``free`` tells that to run the request twice costs nothing: only such a one goes on a connection in doubt.
+        ``repeatable``: the request may safely run twice; only such requests use a connection suspected dead.
         """
         server = self.servers.get(server_id)
         if server is None:
@@ -161,24 +161,24 @@
             server.peak_in_use = server.busy + server.opening
         return record
 
-    # What happens to connections
+    # Connection events
 
     def on_opened(self, now: float, record: ConnectionRecord) -> None:
-        """A connection has come up; it is BUSY with its request, or, opened ahead, about to be put away."""
+        """A connection was established: it is BUSY with its request or, if preconnected, about to be released."""
         server = record.server
         server.opening -= 1
         self.inventory.opening -= 1
         server.busy += 1
         record.state = ConnectionState.BUSY
-        if server.found_dead_at:  # back from the dead: cold, though the list may not say so yet
+        if server.found_dead_at:  # it was found dead: treat it as cold, though discovery may not report a restart yet
             server.found_dead_at = 0.0
             self.slow_start.begin(now, server, now)
 
     def on_connect_failed(self, now: float, record: ConnectionRecord, failure: ConnectFailure) -> bool:
-        """A connection did not come up. Tells whether that speaks of a box that is dead.
+        """A connection was not established. Return whether this indicates that the server is dead.
 
-        A box that has just answered, on connections that are still there, and refuses another one holds as many
-        as it wants: the bound falls to what it holds, and grows again by and by.
+        A server that has just responded on existing connections and refuses another one is at its connection limit:
+        the bound is lowered to what it holds, and grows again gradually.
         """
         server = record.server
         server.opening -= 1
@@ -201,14 +201,14 @@
             self.bounds.cut(now, server, established)
             return False
         server.found_dead_at = now
-        server.unsettled_deaths.clear()  # those died of their box's end, not of lying idle
+        server.unsettled_deaths.clear()  # caused by the end of the server, not by idle time
         server.provisional_idle_limit_ms = NEVER
         while server.idle:
             self.inventory.retire(server.idle[-1], "dead")
         return True
 
     def on_response(self, now: float, record: ConnectionRecord) -> None:
-        """A whole answer came."""
+        """A complete response was received."""
         server = record.server
         server.last_response_at, server.refusals = now, 0
         record.uses += 1
@@ -221,18 +221,20 @@
         if record.preconnected and server.wasted_preconnects:
             server.wasted_preconnects -= 1
         record.preconnected = False
-        if record.suspected:  # one of those in doubt serves: the box was slow, the connections are not dead
+        if record.suspected:  # a suspected connection works: the server was slow, the connections are not dead
             server.suspected_before, server.probing_suspect, record.suspected = 0.0, False, False
 
     def on_broken(self, now: float, record: ConnectionRecord) -> None:
-        """A connection broke under a request before anything came back; it had died, or its box has."""
+        """A connection broke during a request before any response byte: it was stale, or its server ended."""
         server = record.server
         if self.staleness.server_ended(now, server, server.busy + len(server.idle) - 1):
             return
         if record.idle_ms < 0.0:
             server.survival.fresh_use(now, True)
             if server.busy + len(server.idle) > 1 and now - server.last_response_at < ALIVE_AFTER_RESPONSE_MS:
-                self.bounds.cut(now, server, server.busy + len(server.idle) - 1)  # taken and then ended: one too many
+                self.bounds.cut(
+                    now, server, server.busy + len(server.idle) - 1
+                )  # accepted and then closed: over its connection limit
             return
         server.stale_count += 1
         self.counts["stale"] += 1
@@ -241,10 +243,10 @@
             self.staleness.drop_doubtful(server)
 
     def on_response_timeout(self, now: float, record: ConnectionRecord) -> None:
-        """A request on a connection timed out without a byte: slow box or dead connection, nobody can tell.
+        """A request timed out without a response byte: the server is slow or the connection is dead.
 
-        Its siblings that lay idle meanwhile may be as dead: they are tried one at a time. Where the box has
-        answered on other connections meanwhile, the connection was dead.
+        Connections that were idle at that time may be dead too, so they are probed one at a time. If the server has
+        responded on other connections since, this connection was dead.
         """
         server = record.server
         if record.idle_ms < 0.0:
@@ -261,12 +263,12 @@
             self.counts["doubted"] += 1
 
     def on_keep_alive_hint(self, record: ConnectionRecord, timeout_s: float) -> None:
-        """A box said how long it keeps idle connections (``Keep-Alive: timeout=``)."""
+        """The server reported how long it keeps idle connections (``Keep-Alive: timeout=``)."""
         record.server.keep_alive_hint_ms = 1000.0 * timeout_s
         record.server.limits_updated_at = -NEVER
 
     def release(self, now: float, record: ConnectionRecord, keep: bool, cause: str = "spent") -> bool:
-        """A connection is free again; False where it is not kept, and the shell closes it."""
+        """Release a connection after use; if False is returned, the caller closes it."""
         server = record.server
         server.busy -= 1
         if record.suspected:
@@ -281,7 +283,7 @@
             cause, keep = "uses", False
         elif (
             server.open + 1 > server.bound or self.inventory.open > self.bounds.total
-        ):  # its box no longer counts this one
+        ):  # the server no longer counts this one
             cause, keep = "bound", False
         if not keep:
             self.inventory.mark_closed(record)
@@ -293,7 +295,7 @@
         return True
 
     def on_idle_closed(self, now: float, record: ConnectionRecord) -> None:
-        """An idle connection was ended by its box."""
+        """An idle connection was closed by its server."""
         if record.state is not ConnectionState.IDLE:
             return
         server = record.server
@@ -303,13 +305,13 @@
             self.staleness.died(now, server, now - record.idle_since, True)
 
     def on_unsolicited_data(self, now: float, record: ConnectionRecord) -> None:
-        """Something came on an idle connection that nobody had asked for: it is not used again, and tells no more."""
+        """Unsolicited data arrived on an idle connection: drop it, without learning about the idle limit."""
         if record.state is ConnectionState.IDLE:
             self.inventory.remove_idle(record, "spoilt")
             self.opener.unused(now, record)
 
     def on_closed_before_use(self, now: float, record: ConnectionRecord) -> None:
-        """A connection just taken was seen to be closed before anything was written to it."""
+        """A connection just acquired was found closed before anything was written to it."""
         server = record.server
         server.busy -= 1
         if record.suspected:
@@ -319,10 +321,10 @@
         if not self.staleness.server_ended(now, server, server.busy + len(server.idle)):
             self.staleness.died(now, server, record.idle_ms, False)
 
-    # From time to time
+    # Periodic work
 
     def tick(self, now: float) -> list[ConnectionRecord]:
-        """Retire what has lain idle too long, look at deaths, and give the connections to open ahead."""
+        """Retire connections idle for too long, evaluate deaths, and return the connections to preconnect."""
         new_window = now - self.window_started_at >= PEAK_WINDOW_MS
         if new_window:
             self.window_started_at = now
@@ -342,7 +344,7 @@
                 server.warm_up_at = NEVER
                 if not server.open and self.opener.hindered(now, server) is None:
                     ahead.append(self.opener.begin(now, server, True))
-            elif server.idle_misses > 1 and self.settings.ahead:  # one miss is a first use, or chance
+            elif server.idle_misses > 1 and self.settings.ahead:  # a single miss is a first use or chance
                 self.opener.open_ahead(now, server, ahead)
             if new_window:
                 server.previous_peak_in_use, server.peak_in_use, server.idle_misses, server.rest_waits = (
@@ -353,21 +355,22 @@
                 )
         return ahead
 
-    # For people
+    # Diagnostics
 
     def snapshot(self, now: float, max_servers: int = 8) -> list[str]:
-        """Give the state in lines: all, then the boxes with most connections."""
+        """Return the state as text lines: totals, then the servers with most connections."""
         idle = len(self.idle)
         lines = [
             f"links open={self.inventory.open} idle={idle} opening={self.inventory.opening} "
             f"bound={self.bounds.bound_of_all(now):g} "
-            + " ".join(f"{server_id}={count}" for server_id, count in sorted(self.counts.items()))
+            + " ".join(f"{name}={count}" for name, count in sorted(self.counts.items()))
         ]
         for server in sorted(self.servers.values(), key=lambda server: (-server.open, server.id))[:max_servers]:
             low, high = server.survival.interval(now)
             upper_limit = "untold" if high == NEVER else f"{high / 1000.0:.2f}s"
             lines.append(
-                f"links box={server.id} busy={server.busy} idle={len(server.idle)} opening={server.opening} most={server.peak_open} "
+                f"links box={server.id} busy={server.busy} idle={len(server.idle)} opening={server.opening} "
+                f"most={server.peak_open} "
                 f"bound={self.bound(now, server):g} opened={server.open_count} stale={server.stale_count} "
                 f"limit={low / 1000.0:.2f}s..{upper_limit} cold={int(self.cold(now, server))}"
             )
--- a/petrelhall/links/pool.py
+++ b/petrelhall/links/pool.py
@@ -1,4 +1,4 @@
-"""Carries out on sockets what ``links.plan`` decides: connections to boxes, and the attempts made on them."""
+"""Connection pool: opens and closes sockets as ``links.plan`` decides, and makes attempts on them."""
 
 from __future__ import annotations
 
@@ -19,31 +19,31 @@
 from petrelhall.net.stream import NO_DESCRIPTOR, Address, connect
 
 TICK_MS = 100.0
-BODY_STALL_TIMEOUT_MS = 4000.0  # in which a box must read some of a body that waits for it
-BODY_POLL_INTERVAL_MS = 250.0  # between two looks whether a body still comes
+BODY_STALL_TIMEOUT_MS = 4000.0  # a server must read some of a pending body within this time
+BODY_POLL_INTERVAL_MS = 250.0  # interval for checking whether body bytes still arrive
 KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout *= *\"?(\d{1,6})", re.ASCII | re.IGNORECASE)
 
 
 class ServerList(Protocol):
-    """The boxes that there are."""
+    """The current servers, as reported by discovery."""
 
     changed: Callable[[], None]
 
     @property
     def addresses(self) -> Mapping[str, Address]:
-        """Give addresses by id."""
+        """Addresses by server id."""
 
     @property
     def healthy(self) -> Iterable[str]:
-        """Give the ids of those that want new work."""
+        """Ids of the servers that accept new work."""
 
     @property
     def started(self) -> Mapping[str, float | None]:
-        """Give when each started: Unix ms, 0 for long ago, None for untold."""
+        """Start times by server id: Unix ms, 0 for long ago, None if not reported."""
 
 
 class Connection:
-    """One connection to a box: what the plan knows of it, and the socket."""
+    """One connection to a server: the plan's record of it, and its socket."""
 
     __slots__ = ("record", "http")
 
@@ -53,7 +53,7 @@
 
 
 class ConnectionPool:
-    """Makes attempts at boxes, on the connections that the plan gives."""
+    """Makes attempts at servers on the connections that the plan provides."""
 
     def __init__(
         self,
@@ -65,17 +65,19 @@
         connect_ms: float,
         room: Room | None = None,
     ) -> None:
-        self.room = room or Room(0.0)  # for bodies that are passed on
+        self.room = room or Room(0.0)  # memory budget for streamed bodies
         self.loop, self.fleet, self.codec, self.counts, self.plan = loop, fleet, codec, counts, plan
         self.connect_ms = connect_ms
-        self.waiters: dict[str, dict[object, Callable[[], object]]] = {}  # for a connection, by box
+        self.waiters: dict[
+            str, dict[object, Callable[[], object]]
+        ] = {}  # callbacks of requests waiting for a connection, by server id
         fleet.changed = self.sync_servers
         self.sync_servers()
         loop.after(TICK_MS, self.tick)
 
     @property
     def open(self) -> int:
-        """Give how many connections there are."""
+        """Number of connections."""
         return self.plan.open
 
     # Attempts
@@ -89,22 +91,20 @@
         repeatable: bool = True,
         write_by: float = NEVER,
     ) -> Steps[AttemptResult]:
-        """Make one attempt that ends by its time; it is over on the wire when this gives its result.
+        """Make one attempt within its deadline; no more I/O of the attempt follows its result.
 
-        ``free`` tells that the request may run twice without harm; ``write_by`` is the last moment (Unix ms) at
-        which it may be written, whatever it has waited for until then.
+        ``repeatable``: the request may safely run twice. ``write_by``: latest time (Unix ms) at which it may be
+        written, however long it waited for a connection.
         """
         if now_ms() >= deadline:
             return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "no time left")
         remaining_body = self.codec.rest(message)
-        if (
-            remaining_body is not None and remaining_body.spent
-        ):  # whether it may go again is no question any more: it cannot
+        if remaining_body is not None and remaining_body.spent:  # a streamed body cannot be sent again
             return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "its body was passed on already")
         connection: Connection | AttemptResult | None = None
         record = self.plan.acquire(now_ms(), server_id, repeatable)
         if isinstance(record, ConnectionRecord) and not self.plan.closing:
-            connection = self.usable_connection(record)  # as nearly always
+            connection = self.usable_connection(record)  # the common case
         if connection is None:
             connection = yield from self.obtain_connection(server_id, deadline, is_cancelled, repeatable, record)
         if isinstance(connection, AttemptResult):
@@ -121,13 +121,13 @@
                     return failure
             rejection = self.check_before_write(record, deadline, write_by, is_cancelled)
             if rejection is not None:
-                # It is as good as before, but for the time that it lay idle until now, which is soon forgotten.
+                # The connection is unchanged except that its idle time is reset, which is harmless if that was short.
                 keep, cause = record.idle_ms < self.plan.settings.wait_ms, "unused"
                 return rejection
             connection.http.ask(*self.codec.outgoing(message, deadline - now_ms()), more=remaining_body is not None)
             body_sent_at = 0.0
             if remaining_body is not None:
-                timeout_ms = deadline - now_ms()  # counts from the body's last byte
+                timeout_ms = deadline - now_ms()  # restarts at the body's last byte
                 failure = yield from self.send_body(connection, remaining_body, is_cancelled)
                 if failure is not None:
                     return failure
@@ -139,14 +139,14 @@
             if body_sent_at:
                 result = replace(result, body_sent_at=body_sent_at)
             if isinstance(result.reply, Flowing):
-                if result.ending is not Ending.OK:  # not an answer to pass on: taken for an error, as before
+                if result.ending is not Ending.OK:  # only successful responses are streamed; others count as errors
                     return AttemptResult(
                         result.ending, result.progress, "answer too large", None, result.report, result.used
                     )
                 streamed_reply = result.reply
                 streamed_reply.done = lambda complete: self.on_stream_done(connection, complete)
                 handed_over = True
-                # Taken in this same step by the front, or never (its client left): then it is closed.
+                # The listener takes the response in this loop turn or, if its client left, never: then close it.
                 self.loop.after(0.0, lambda: streamed_reply.taken or streamed_reply.done(False))
                 return result
             if result.progress is AttemptProgress.ANSWERED:
@@ -154,7 +154,7 @@
             elif result.ending in (Ending.CANCELLED, Ending.TIMEOUT):
                 cause = "given_up"
             return result
-        except Exception as error:  # our own fault, such as a message that h11 will not word: no box's
+        except Exception as error:  # internal error, such as a message that h11 rejects; not a fault of the server
             self.loop.log(f"attempt failed: {describe(error)}")
             keep = False
             progress = AttemptProgress.WRITTEN if request_written else AttemptProgress.UNWRITTEN
@@ -168,11 +168,11 @@
     def check_before_write(
         self, record: ConnectionRecord, deadline: float, write_by: float, is_cancelled: Callable[[], bool]
     ) -> AttemptResult | None:
-        """Say why an attempt that has its connection must not be written after all.
+        """Return why an attempt that has its connection must not be written, if so.
 
-        Between the decision and this moment it may have waited for a connection: for a free one, or for one to come
-        up. The rules count from the write: the box may drain by now (they count from the telling), the client may
-        have left, the time for an answer or for a repeat may be over.
+        Since the decision it may have waited for a free or new connection. The rules apply at the time of the write:
+        by now the server may drain (which counts from its announcement), the client may have left, or the time for
+        a response or a retry may be over.
         """
         if not record.server.listed:
             return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "drained before it was sent")
@@ -188,10 +188,10 @@
     def send_body(
         self, connection: Connection, remaining_body: Inflow, is_cancelled: Callable[[], bool]
     ) -> Steps[AttemptResult | None]:
-        """Pass a body on as it comes, reading the client only as fast as the box reads.
+        """Stream a body to the server, reading from the client only as fast as the server reads.
 
-        Gives None once it is all written, or the box has answered before; else how the attempt ended. What broke
-        off before its last byte never ran: that tells nothing against a box whose client stopped.
+        Returns None once it is written completely or the server has responded early, else the result. A request cut
+        off before its last byte never ran; if the client stopped, the server is not at fault.
         """
         stream, http = connection.http.stream, connection.http
         remaining_body.spent, remaining_body.first = True, b""
@@ -205,7 +205,7 @@
                     return AttemptResult(
                         Ending.MOOT, AttemptProgress.UNWRITTEN, f"broken under a body ({stream.error})"
                     )
-                if stream.incoming:  # it answers before it has read all: that answer counts
+                if stream.incoming:  # an early response counts
                     return None
                 if is_cancelled():
                     return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "called off under a body")
@@ -224,7 +224,7 @@
                         continue
                     stall_deadline = (
                         now_ms() + BODY_STALL_TIMEOUT_MS
-                    )  # the client's silence is not the box's: ``rest`` bounds that
+                    )  # a silent client is not a stalled server: ``remaining_body`` limits that
                 elif now_ms() >= stall_deadline:
                     return AttemptResult(Ending.TIMEOUT, AttemptProgress.UNWRITTEN, "the box reads no more of a body")
                 if timer.when <= now_ms():
@@ -234,21 +234,21 @@
             timer.cancel()
 
     def on_stream_done(self, connection: Connection, complete: bool) -> None:
-        """Take back a connection whose answer was passed on as it came; kept only where it came whole.
+        """Release a connection whose response was streamed; keep it only if the response was complete.
 
-        Told once: by the front that took the answer, or by the look at the next turn where nobody did.
+        Called once: by the listener that took the response, or by the timer of the next loop turn if none did.
         """
         if complete:
             self.plan.on_response(now_ms(), connection.record)
         self.release(connection, complete and connection.http.again(), "told" if complete else "broken")
 
     def usable_connection(self, record: ConnectionRecord) -> Connection | AttemptResult | None:
-        """Give the connection of a link that was taken, begun if it is new; None where it proves closed."""
+        """Return the connection of an acquired record, started if new; None if it turns out to be closed."""
         connection: Connection | None = record.owner_data
         if connection is None:
             return self.start_connecting(record, self.loop.this_task().wake)
-        # The box may have closed it since epoll was last asked: what is written to a connection
-        # closed by the other side would end as a reset, which may have run.
+        # The server may have closed it since the last epoll call. A write to a connection closed by the peer
+        # ends as a reset, after which the request may have run.
         if connection.http.stream.alive():
             return connection
         self.plan.on_closed_before_use(now_ms(), record)
@@ -263,9 +263,9 @@
         repeatable: bool,
         record: ConnectionRecord | Wait | Unavailable,
     ) -> Steps[Connection | AttemptResult]:
-        """Get a connection, one that comes up included, within the time that waiting for one is worth.
+        """Get a connection, possibly still connecting, within the limit on waiting for one.
 
-        ``link`` is what the plan has just said.
+        ``record`` is what the plan has just returned.
         """
         wait_deadline = 0.0
         while True:
@@ -284,14 +284,14 @@
                     self.counts.add("links", "none_in_time")
                     return AttemptResult(
                         Ending.MOOT, AttemptProgress.UNWRITTEN, f"no connection: {record.cause}"
-                    )  # no box's fault
+                    )  # not the server's fault
                 if is_cancelled():
                     return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "called off")
                 yield from self.wait_for_connection(server_id, min(wait_deadline, now + record.ms))
             record = self.plan.acquire(now_ms(), server_id, repeatable)
 
     def wait_for_connection(self, server_id: str, deadline: float) -> Steps[None]:
-        """Wait until a connection of a box may have come free."""
+        """Wait until a connection to a server may have been released."""
         queue, waiter = self.waiters.setdefault(server_id, {}), object()
         queue[waiter] = wake = self.loop.this_task().wake
         timer = self.loop.at(deadline, wake)
@@ -302,13 +302,13 @@
             del self.waiters[server_id]
 
     def wake_next_waiter(self, server_id: str) -> None:
-        """Let the request that has waited longest for a box look again."""
+        """Wake the request that has waited longest for a server."""
         queue = self.waiters.get(server_id)
         if queue:
             queue.pop(next(iter(queue)))()
 
     def start_connecting(self, record: ConnectionRecord, notify: Callable[[], object]) -> Connection | AttemptResult:
-        """Begin to open a connection."""
+        """Start opening a connection."""
         address: Any = record.server.address
         stream = connect(self.loop, address, notify)
         if isinstance(stream, OSError):
@@ -318,7 +318,7 @@
         return Connection(record, ClientSide(stream))
 
     def report_connect_failure(self, record: ConnectionRecord, failure: ConnectFailure, reason: str) -> AttemptResult:
-        """Tell the plan of a connection that did not come up, and word it for the module."""
+        """Report a connection that was not established to the plan, and return the result for the decision module."""
         server_dead = self.plan.on_connect_failed(now_ms(), record, failure)
         self.loop.after(0.0, self.close_retired)
         self.wake_next_waiter(record.server.id)
@@ -327,7 +327,7 @@
     def wait_until_connected(
         self, connection: Connection, deadline: float, timers: list[Timer], is_cancelled: Callable[[], bool]
     ) -> Steps[AttemptResult | None]:
-        """Wait for a new connection to come up; nothing is written before it has."""
+        """Wait until a new connection is established; nothing is written before."""
         stream, record = connection.http.stream, connection.record
         wait_deadline = now_ms() + self.connect_ms
         timers.append(self.loop.at(wait_deadline, stream.notify))
@@ -341,7 +341,7 @@
                 return self.report_connect_failure(record, ConnectFailure.SILENT, "connection did not come up")
             yield
         if stream.ended:
-            # A connection reset as it comes up was taken by someone that lives; refused, there is nobody.
+            # A reset while connecting means that a live server accepted it; a refusal, that nobody listens.
             return self.report_connect_failure(
                 record, classify_connect_error(stream.error), f"connection refused ({stream.error})"
             )
@@ -351,12 +351,12 @@
     def read_response(
         self, connection: Connection, deadline: float, is_cancelled: Callable[[], bool]
     ) -> Steps[AttemptResult]:
-        """Wait for the answer; it counts only when it is whole."""
+        """Wait for the response; it counts only when complete."""
         http, stream, record = connection.http, connection.http.stream, connection.record
         while True:
             reply = http.reply()
             progress = AttemptProgress.UNWRITTEN if stream.outgoing else AttemptProgress.WRITTEN
-            if isinstance(reply, Flowing):  # the rest is passed on by whoever takes the answer
+            if isinstance(reply, Flowing):  # the caller streams the rest
                 verdict = self.codec.verdict(Reply(reply.status, reply.headers, b""))
                 return AttemptResult(
                     verdict.ending,
@@ -382,19 +382,19 @@
                     verdict.used,
                 )
             if isinstance(reply, Broken) and progress and not stream.ended:
-                # A spoilt answer comes from a box that lives: an error of one request. Told as a reset it
-                # would count as the box's death, and the module would leave it alone and treat it as cold.
+                # A malformed response comes from a live server: an error of one request. Reported as a reset it would
+                # count as the server's death, and the decision module would avoid it and treat it as cold.
                 self.counts.add("servers", "spoilt_answers")
-                if reply.reason == "answer too large":  # the first is told, for on-call: over 64 MiB stated
+                if reply.reason == "answer too large":  # log the first one for on-call: over 64 MiB declared
                     if not self.counts.get("servers", "too_large"):
                         self.loop.log(
-                            f"an answer of box {record.server.id} was over the bytes kept: taken for an error"
+                            f"response of server {record.server.id} exceeds the size limit; treated as an error"
                         )
                     self.counts.add("servers", "too_large")
                 return AttemptResult(Ending.ERROR, progress, reply.reason)
             if isinstance(reply, Broken) or stream.ended:
-                # A connection that breaks before the last byte is written proves that nothing ran. Only one
-                # that never came up tells of its box: this one may have been closed as idle.
+                # If a connection breaks before the last byte is written, nothing ran. Only a failed connect is
+                # evidence about the server: this connection may have been closed as idle.
                 if not http.head:
                     self.counts.add("connections", "broken_when_used_again", record.idle_ms >= 0.0)
                     self.plan.on_broken(now_ms(), record)
@@ -411,23 +411,23 @@
     # Connections
 
     def release(self, connection: Connection, keep: bool, cause: str) -> None:
-        """Put a connection away for the next attempt, or close it; one that never came up is counted already."""
+        """Keep a connection for the next attempt or close it; a failed connect is already counted."""
         record = connection.record
         if record.state is ConnectionState.OPENING:
-            self.plan.on_connect_failed(now_ms(), record, ConnectFailure.LEFT)  # our own fault as it came up
+            self.plan.on_connect_failed(now_ms(), record, ConnectFailure.LEFT)  # internal error while connecting
         if record.state is ConnectionState.BUSY and self.plan.release(now_ms(), record, keep, cause):
             connection.http.stream.notify = lambda: self.on_idle_event(connection)
         else:
             connection.http.stream.close()
         if self.plan.closing:
-            self.loop.after(0.0, self.close_retired)  # not now: a handler may close its own descriptor only
+            self.loop.after(0.0, self.close_retired)  # deferred: a handler may only close its own descriptor
         if self.waiters:
             self.wake_next_waiter(record.server.id)
 
     def on_idle_event(self, connection: Connection) -> None:
-        """Drop an idle connection on which anything happens: only its end, or junk, can."""
+        """Drop an idle connection on any event: only a close or unsolicited data can arrive."""
         stream = connection.http.stream
-        if stream.incoming:  # a second answer, noise: its box has not closed it, which would teach how long it may lie
+        if stream.incoming:  # extra response or junk; not a close, so nothing to learn about the idle limit
             self.counts.add("servers", "unasked_bytes")
             self.plan.on_unsolicited_data(now_ms(), connection.record)
         else:
@@ -435,27 +435,27 @@
         stream.close()
 
     def close_retired(self) -> None:
-        """Close what the plan has retired."""
+        """Close the connections that the plan has retired."""
         for record, _ in self.plan.closing:
             if record.owner_data is not None:
                 record.owner_data.http.stream.close()
         self.plan.closing.clear()
 
     def tick(self) -> None:
-        """Let the plan retire and open ahead."""
+        """Run the periodic work of the plan and preconnect."""
         self.loop.after(TICK_MS, self.tick)
         for record in self.plan.tick(now_ms()):
             self.preconnect(record)
         self.close_retired()
 
     def preconnect(self, record: ConnectionRecord) -> None:
-        """Open a connection that no request waits for yet."""
+        """Open a connection in advance, before a request needs it."""
         connection = self.start_connecting(record, lambda: self.on_preconnect_event(record, timer))
         if isinstance(connection, Connection):
             timer = self.loop.after(self.connect_ms, lambda: self.on_preconnect_timeout(record))
 
     def on_preconnect_event(self, record: ConnectionRecord, timer: Timer) -> None:
-        """Put a connection away that was opened ahead and has come up; or it has not."""
+        """Handle the outcome of a preconnect: release the connection, or report the failure."""
         stream = record.owner_data.http.stream
         timer.cancel()
         if stream.ended:
@@ -466,12 +466,12 @@
             self.release(record.owner_data, True, "")
 
     def on_preconnect_timeout(self, record: ConnectionRecord) -> None:
-        """Give up a connection opened ahead that does not come up."""
+        """Abandon a preconnect that exceeds the connect timeout."""
         self.report_connect_failure(record, ConnectFailure.SILENT, "opened ahead")
         record.owner_data.http.stream.close()
 
     def sync_servers(self) -> None:
-        """Bring the plan up to date with the list of boxes."""
+        """Update the plan from the server list."""
         healthy = set(self.fleet.healthy)
         for server_id in [server_id for server_id in self.plan.servers if server_id not in healthy]:
             self.plan.remove_server(server_id)
@@ -481,10 +481,10 @@
         self.loop.after(0.0, self.close_retired)
 
     def describe(self) -> list[str]:
-        """Give the state of all connections in lines for people."""
+        """Return the state of all connections as text lines."""
         return self.plan.snapshot(now_ms())
 
 
 def classify_connect_error(error: int) -> ConnectFailure:
-    """Give how a connection ended that had not come up."""
+    """Map the error of a failed connect to its reason."""
     return ConnectFailure.RESET if error == errno.ECONNRESET else ConnectFailure.REFUSED
--- a/petrelhall/links/server.py
+++ b/petrelhall/links/server.py
@@ -1,4 +1,4 @@
-"""What is known of one server's connections: counts, bounds and what was learned of its idle limit. Pure."""
+"""State of one server's connections: counts, bounds and the learned idle limit. No I/O."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ServerConnections:
-    """What is known of one box's connections."""
+    """State of one server's connections."""
 
     __slots__ = (
         "id",
@@ -52,12 +52,12 @@
 
     def __init__(self, server_id: str, address: object, bound: float, survival: Survival) -> None:
         self.id, self.address, self.listed, self.survival = server_id, address, True, survival
-        self.started = 0.0  # what the list says of its start; 0: long ago
-        self.cold_since = 0.0  # since when it has been cold, by the list or by what was seen; 0: long ago
-        self.idle: list[ConnectionRecord] = []  # by when they were put away, the latest last
+        self.started = 0.0  # start time reported by discovery; 0: long ago
+        self.cold_since = 0.0  # start of its cold phase, as reported or observed; 0: long ago
+        self.idle: list[ConnectionRecord] = []  # ordered by when they became idle, the latest last
         self.busy = self.opening = 0
-        self.bound, self.bound_changed_at = bound, 0.0  # connections at most, and when the bound last changed
-        self.tokens, self.tokens_updated_at = 1.0, 0.0  # connections that may be opened now while it is cold
+        self.bound, self.bound_changed_at = bound, 0.0  # maximum number of connections, and when it last changed
+        self.tokens, self.tokens_updated_at = 1.0, 0.0  # token bucket for opening connections while it is cold
         self.last_response_at, self.refusals, self.last_refused_at, self.found_dead_at = -NEVER, 0, 0.0, 0.0
         self.peak_in_use = self.previous_peak_in_use = self.idle_misses = self.wasted_preconnects = self.rest_waits = 0
         self.preconnect_allowed_at, self.warm_up_at = 0.0, NEVER
@@ -67,20 +67,22 @@
             NEVER,
             NEVER,
         )
-        self.unsettled_deaths: list[tuple[float, float, bool]] = []  # not looked at yet: when, idle ms, seen closing
-        self.provisional_idle_limit_ms = NEVER  # shortest idle time among those
+        self.unsettled_deaths: list[
+            tuple[float, float, bool]
+        ] = []  # not evaluated yet: (time, idle ms, whether the close was observed)
+        self.provisional_idle_limit_ms = NEVER  # shortest idle time among the unsettled deaths
         self.suspected_before, self.probing_suspect = (
             0.0,
             False,
-        )  # idle since before this: in doubt; one of them is being tried
+        )  # connections idle since before this are suspected dead; one is being probed
         self.peak_open = self.open_count = self.stale_count = 0
-        self.longest_survived_ms = 0.0  # longest idle time that was survived since the last look
+        self.longest_survived_ms = 0.0  # longest idle time survived since the last limit update
         self.recent_ends, self.recent_ends_since = (
             0,
             -NEVER,
-        )  # connections that ended by themselves within SETTLE_MS, and since when
+        )  # connections closed by the server within SETTLE_MS, and since when
 
     @property
     def open(self) -> int:
-        """Give how many connections there are, coming up, in use or idle."""
+        """Number of connections: opening, busy and idle."""
         return self.busy + self.opening + len(self.idle)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -505,7 +505,7 @@
         links = [self.up(plan) for _ in range(10)]
         self.assertGreater(len({round(link.expires_at) for link in links}), 5)
         self.assertTrue(all(8000.0 <= link.expires_at - T0 <= 12000.0 for link in links))
-        self.assertGreater(len({link.last_use for link in links}), 4)
+        self.assertGreater(len({link.max_uses for link in links}), 4)
         links[0].uses = 200
         self.assertFalse(plan.release(T0, links[0], True))
         self.assertFalse(plan.release(T0 + 12001.0, links[1], True))
@@ -607,7 +607,9 @@
         self.collect()
 
     @precondition(lambda self: self.busy)
-    @rule(data=st.data(), how=st.sampled_from(("answered", "broke", "silent", "found_closed", "left")))
+    @rule(
+        data=st.data(), how=st.sampled_from(("on_response", "on_broken", "on_response_timeout", "found_closed", "left"))
+    )
     def come_free(self, data: st.DataObject, how: str) -> None:
         link = data.draw(st.sampled_from(self.busy))
         self.busy.remove(link)
@@ -617,7 +619,7 @@
             return self.collect()
         if how != "left":
             getattr(self.plan, how)(self.now, link)
-        if self.plan.release(self.now, link, how == "answered"):
+        if self.plan.release(self.now, link, how == "on_response"):
             self.idle.append(link)
         else:
             self.over.add(id(link))
