--- a/petrelhall/links/pool.py
+++ b/petrelhall/links/pool.py
@@ -226,7 +226,9 @@
                         now_ms() + BODY_STALL_TIMEOUT_MS
                     )  # a silent client is not a stalled server: ``remaining_body`` limits that
                 elif now_ms() >= stall_deadline:
-                    return AttemptResult(Ending.TIMEOUT, AttemptProgress.UNWRITTEN, "the box reads no more of a body")
+                    return AttemptResult(
+                        Ending.TIMEOUT, AttemptProgress.UNWRITTEN, "the server stopped reading the body"
+                    )
                 if timer.when <= now_ms():
                     timer = self.loop.after(BODY_POLL_INTERVAL_MS, wake)
                 yield
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Connections to boxes on real sockets: what the core decides is carried out, and no wait is without end."""
+"""Tests of the connection pool on real sockets: the plan is carried out, and every wait is bounded."""
 
 from __future__ import annotations
 
@@ -28,21 +28,21 @@
 
 
 class Sockets(unittest.TestCase):
-    """A pool, its loop turned by hand, and one listening box."""
+    """A pool, its event loop run step by step, and one listening server."""
 
     def setUp(self) -> None:
         self.notes: list[str] = []
         self.loop, self.counts = Loop(self.notes.append), Counts()
-        self.box = listen()
-        self.addCleanup(self.box.close)
-        self.box.setblocking(False)
+        self.server_socket = listen()
+        self.addCleanup(self.server_socket.close)
+        self.server_socket.setblocking(False)
         self.fleet = Fleet(("a",))
         self.results: list[Any] = []
-        self.held: list[socket.socket] = []
-        self.addCleanup(lambda: [sock.close() for sock in self.held])
+        self.accepted: list[socket.socket] = []
+        self.addCleanup(lambda: [sock.close() for sock in self.accepted])
 
     def pool(self, **links: Any) -> ConnectionPool:
-        self.fleet.take({"version": 1, "full": True, "servers": [entry("s0", address(self.box))]})
+        self.fleet.take({"version": 1, "full": True, "servers": [entry("s0", address(self.server_socket))]})
         platform = Platform(read_settings(PROFILE), ("view", "change"), ("plan",))
         self.plan = ConnectionPlan(Links(**links), 10, 30000.0)
         return ConnectionPool(self.loop, self.fleet, platform, self.counts, self.plan, 500.0)
@@ -57,48 +57,48 @@
     def turn_until(self, done: Any) -> None:
         until = now_ms() + PATIENCE_S * 1000.0
         while not done():
-            self.assertLess(now_ms(), until, "nothing came of it")
+            self.assertLess(now_ms(), until, "condition not met in time")
             self.loop.after(20.0, lambda: None)
             self.loop.turn()
 
     def accept(self) -> socket.socket:
-        """Take the connection that the box was sent."""
+        """Accept the next connection to the server."""
 
         def taken() -> bool:
             try:
-                sock = self.box.accept()[0]
+                sock = self.server_socket.accept()[0]
             except BlockingIOError:
                 return False
             sock.setblocking(False)
-            self.held.append(sock)
+            self.accepted.append(sock)
             return True
 
-        before = len(self.held)
-        self.turn_until(lambda: len(self.held) > before or taken())
-        return self.held[-1]
+        before = len(self.accepted)
+        self.turn_until(lambda: len(self.accepted) > before or taken())
+        return self.accepted[-1]
 
-    def asked(self, sock: socket.socket) -> bytes:
+    def read_request(self, sock: socket.socket) -> bytes:
         """Wait for a request on a connection."""
         data = bytearray()
 
-        def come() -> bool:
+        def received() -> bool:
             try:
                 data.extend(sock.recv(65536))
             except BlockingIOError:
                 pass
             return data.endswith(b"\r\n\r\n")
 
-        self.turn_until(come)
+        self.turn_until(received)
         return bytes(data)
 
     def serve(self, sock: socket.socket, *headers: str) -> None:
-        """Answer what was asked, and see the answer come in."""
+        """Respond to the request and wait until the attempt ends."""
         done = len(self.results)
-        self.asked(sock)
+        self.read_request(sock)
         sock.sendall(reply(b"ok", "200 OK", *headers))
         self.turn_until(lambda: len(self.results) > done)
 
-    def test_a_request_beyond_the_bound_waits_and_goes_on_the_connection_that_comes_free(self) -> None:
+    def test_a_request_beyond_the_bound_waits_and_uses_the_released_connection(self) -> None:
         pool = self.pool(per_box=1, wait_ms=2000.0)
         self.attempt(pool)
         self.attempt(pool)
@@ -108,18 +108,18 @@
         self.assertEqual([result.ending for result in self.results], [Ending.OK, Ending.OK])
         self.assertEqual(self.plan.counts["opened.needed"], 1)
 
-    def test_a_request_that_finds_no_connection_in_its_time_was_never_sent(self) -> None:
+    def test_a_request_that_gets_no_connection_in_time_is_never_sent(self) -> None:
         pool = self.pool(per_box=1, wait_ms=50.0)
         self.attempt(pool)
         sock = self.accept()
-        self.asked(sock)
+        self.read_request(sock)
         self.attempt(pool)
         self.turn_until(lambda: self.results)
         self.assertEqual((self.results[0].ending, self.results[0].progress), (Ending.MOOT, AttemptProgress.UNWRITTEN))
         self.assertIn("box_bound", self.results[0].reason)
         self.assertEqual(pool.waiters, {})
 
-    def test_a_crowd_of_waiting_requests_is_served_in_turn_and_none_forgotten(self) -> None:
+    def test_many_waiting_requests_are_all_served(self) -> None:
         pool = self.pool(per_box=2, wait_ms=4000.0)
         for _ in range(30):
             self.attempt(pool, 20000.0)
@@ -131,38 +131,38 @@
         self.assertEqual({result.ending for result in self.results}, {Ending.OK})
         self.assertEqual((self.plan.counts["opened.needed"], pool.waiters), (2, {}))
 
-    def test_a_connection_that_closed_while_idle_is_not_written_to_and_teaches(self) -> None:
+    def test_a_connection_closed_while_idle_is_not_written_to_and_is_counted(self) -> None:
         pool = self.pool()
         self.attempt(pool)
         self.serve(self.accept())
-        self.held[0].close()
+        self.accepted[0].close()
         self.attempt(pool)
         self.serve(self.accept())
         self.assertEqual([result.ending for result in self.results], [Ending.OK, Ending.OK])
         self.assertEqual(self.plan.counts["retired.closed"], 1)
         self.assertEqual(self.plan.counts["stale"], 0)
 
-    def test_a_close_that_epoll_has_not_told_yet_is_seen_before_anything_is_written(self) -> None:
+    def test_a_close_that_epoll_has_not_reported_yet_is_detected_before_a_write(self) -> None:
         pool = self.pool()
         self.attempt(pool)
         self.serve(self.accept())
         self.plan.servers["s0"].idle[
             0
-        ].idle_since -= REST_MS  # rested: nothing but the look at the socket is in the way
-        self.held[0].close()
+        ].idle_since -= REST_MS  # past the rest time: only the check of the socket prevents reuse
+        self.accepted[0].close()
         steps = pool.attempt("s0", ASKED, now_ms() + 1000.0, lambda: False)
         self.addCleanup(steps.close)
-        self.loop.step(Task(self.loop, steps))  # without a look at the sockets
+        self.loop.step(Task(self.loop, steps))  # without polling the sockets
         self.assertEqual(self.plan.counts["retired.closed"], 1)
         self.assertEqual(self.plan.counts["opened.needed"], 2)
 
-    def test_an_attempt_that_still_connects_when_its_box_drains_is_not_written(self) -> None:
-        self.box.close()
+    def test_an_attempt_still_connecting_when_its_server_drains_is_not_written(self) -> None:
+        self.server_socket.close()
         with (
             socket.create_server(("127.0.0.1", 0), backlog=0) as server,
             socket.create_connection(server.getsockname()),
-        ):  # its queue is full: connecting takes long
-            self.box = server
+        ):  # the accept queue is full, so connecting takes long
+            self.server_socket = server
             pool = self.pool()
             pool.connect_ms = 5000.0
             self.attempt(pool, 8000.0)
@@ -170,7 +170,7 @@
             drains = entry("s0", address(server), "Terminating")
             self.fleet.take({"version": 2, "full": False, "servers": [drains]})
             server.settimeout(PATIENCE_S)
-            server.accept()[0].close()  # room in the queue: the connection comes up
+            server.accept()[0].close()  # space in the queue: the connection is established
             self.turn_until(lambda: self.results)
             sock = server.accept()[0]
             sock.settimeout(PATIENCE_S)
@@ -178,7 +178,7 @@
             sock.close()
         self.assertEqual((self.results[0].ending, self.results[0].progress), (Ending.MOOT, AttemptProgress.UNWRITTEN))
 
-    def test_a_silent_box_puts_the_siblings_of_the_silent_connection_in_doubt(self) -> None:
+    def test_a_response_timeout_makes_the_other_idle_connections_suspected(self) -> None:
         pool = self.pool()
         for _ in range(2):
             self.attempt(pool)
@@ -189,21 +189,21 @@
         self.assertEqual(self.results[2].ending, Ending.TIMEOUT)
         self.assertEqual(self.plan.counts["doubted"], 1)
         self.attempt(pool, free=False)
-        self.accept()  # a new connection, though one lies idle
+        self.accept()  # a new connection, although one is idle
         self.assertEqual(self.plan.counts["opened.needed"], 3)
 
-    def test_a_box_that_closes_just_as_we_write_may_have_run_the_request(self) -> None:
+    def test_a_server_that_closes_during_the_write_may_have_run_the_request(self) -> None:
         pool = self.pool()
         self.attempt(pool)
         self.serve(self.accept())
         self.attempt(pool)
-        self.asked(self.held[0])
-        self.held[0].close()
+        self.read_request(self.accepted[0])
+        self.accepted[0].close()
         self.turn_until(lambda: len(self.results) > 1)
         self.assertEqual((self.results[1].ending, self.results[1].progress), (Ending.RESET, AttemptProgress.WRITTEN))
         self.assertEqual((self.plan.counts["stale"], pool.open), (1, 0))
 
-    def test_the_box_s_word_in_keep_alive_is_heard(self) -> None:
+    def test_the_keep_alive_timeout_of_a_server_is_recorded(self) -> None:
         pool = self.pool()
         self.attempt(pool)
         self.serve(self.accept(), "Keep-Alive: timeout=5, max=100")
@@ -215,13 +215,13 @@
         self.serve(self.accept(), "Connection: close")
         self.assertEqual((pool.open, self.plan.counts["retired.told"]), (0, 1))
 
-    def test_no_descriptor_left_is_no_fault_of_the_box_and_does_not_spin(self) -> None:
+    def test_running_out_of_descriptors_is_not_blamed_on_the_server_and_does_not_spin(self) -> None:
         pool = self.pool(wait_ms=60.0)
         self.attempt(pool)
         self.serve(self.accept())
-        sock = self.held[0]
+        sock = self.accepted[0]
         self.attempt(pool)
-        self.asked(sock)  # the one connection is in use
+        self.read_request(sock)  # the only connection is in use
         calls: list[Any] = []
 
         def none_left(*values: Any) -> OSError:
@@ -233,12 +233,12 @@
                 self.attempt(pool)
             self.turn_until(lambda: len(self.results) == 21)
         self.assertEqual({result.ending for result in self.results[1:]}, {Ending.MOOT})
-        self.assertLess(len(calls), 5)  # the bound on all fell to what there is
+        self.assertLess(len(calls), 5)  # the total bound dropped to the open connections
         self.assertEqual(self.plan.counts["failed.ours"], len(calls))
         self.assertEqual(self.plan.servers["s0"].bound, 64.0)
         self.assertEqual(self.plan.open, 1)
 
-    def test_a_spare_opened_ahead_serves_the_next_request(self) -> None:
+    def test_a_preconnected_spare_serves_the_next_request(self) -> None:
         pool = self.pool(ahead=1, per_box=4)
         for _ in range(2):
             self.attempt(pool)
@@ -246,21 +246,21 @@
         self.accept()  # the spare
         self.turn_until(lambda: len(self.plan.idle) == 1)
         self.attempt(pool)
-        self.serve(self.held[2])
+        self.serve(self.accepted[2])
         self.serve(first)
         self.serve(second)
         self.assertEqual(self.plan.counts["opened.ahead"], 1)
         self.assertEqual(self.plan.counts["opened.needed"], 2)
 
-    def test_a_spare_that_does_not_come_up_is_counted_out(self) -> None:
+    def test_a_preconnect_that_fails_is_removed_from_the_totals(self) -> None:
         pool = self.pool(warm_up_ms=1.0)
-        self.box.close()
+        self.server_socket.close()
         self.turn_until(lambda: self.plan.counts["failed.refused"])
         self.assertEqual((pool.open, self.plan.opening), (0, 0))
 
 
 class Reloading(Story):
-    """The operators' file on the program itself."""
+    """Reloading the operators' file of a running gateway."""
 
     def begin(self, content: str) -> None:
         self.file = os.path.join(self.stack.enter_context(self.folder()), "operator.json")
@@ -278,13 +278,13 @@
         with open(self.file, "w") as file:
             file.write(content)
 
-    def test_a_bad_file_at_the_start_is_one_line_and_exit_code_2(self) -> None:
+    def test_an_invalid_file_at_start_prints_one_line_and_exits_with_2(self) -> None:
         self.begin('{"links": {"per_bx": 3}}')
         _, errors = self.program.communicate(timeout=PATIENCE_S)
         self.assertEqual(self.program.returncode, 2)
         self.assertEqual(errors, f"petrelhall: {self.file}: links.per_bx: unknown; did you mean 'per_box'?\n")
 
-    def test_a_reload_with_a_bad_value_changes_nothing_and_a_good_one_is_told(self) -> None:
+    def test_a_reload_with_an_invalid_value_changes_nothing_and_a_valid_one_is_logged(self) -> None:
         self.begin('{"links": {"per_box": 8}}')
         client = self.client(ask())
         at_server = self.accept(self.server)
@@ -299,7 +299,7 @@
         self.assertTrue(read_message(client).endswith(b"whole"))
         self.assertIn("reload.refused=1 reload.taken=1", self.stop())
 
-    def test_a_snapshot_of_the_connections_comes_on_request(self) -> None:
+    def test_a_snapshot_of_the_connections_is_logged_on_request(self) -> None:
         self.begin("{}")
         client = self.client(ask())
         at_server = self.accept(self.server)
