--- a/petrelhall/gateway/platform.py
+++ b/petrelhall/gateway/platform.py
@@ -9,7 +9,7 @@
 from petrelhall.decide.interface import Ending
 from petrelhall.gateway.requests import Answer, Failed, Refused, Request, Served, Unsure
 from petrelhall.http.h1 import Broken, Headers, Inflow, Message, Reply
-from petrelhall.links.attempt import Verdict
+from petrelhall.links.attempt import ResponseVerdict
 
 API_PATH = b"/api"
 HEALTH_PATH = b"/healthz"
@@ -166,14 +166,14 @@
         """Return the rest of a streamed request body, or None if the message has none."""
         return message.message.rest if isinstance(message, ForwardedRequest) else None
 
-    def verdict(self, reply: Reply) -> Verdict:
+    def verdict(self, reply: Reply) -> ResponseVerdict:
         """Interpret a server's reply; only its explicit X-Not-Run header proves that the request did not run."""
         report = self.parse_load_report(reply.headers.get(b"x-load", b""))
         if reply.status == 200:
-            return Verdict(Ending.OK, report)
+            return ResponseVerdict(Ending.OK, report)
         if reply.status in (503, 504) and reply.headers.get(b"x-not-run") == b"1":
-            return Verdict(Ending.FULL, report)
-        return Verdict(Ending.ERROR, report)
+            return ResponseVerdict(Ending.FULL, report)
+        return ResponseVerdict(Ending.ERROR, report)
 
     def parse_load_report(self, value: bytes) -> dict[str, float]:
         """Parse a load report: a word followed by fields; those that the settings do not name are ignored.
--- a/petrelhall/gateway/requests.py
+++ b/petrelhall/gateway/requests.py
@@ -15,7 +15,7 @@
 
 from petrelhall.decide import interface as api
 from petrelhall.decide.interface import Ending
-from petrelhall.links.attempt import Reach, Result
+from petrelhall.links.attempt import AttemptProgress, AttemptResult
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, Steps, now_ms
 
@@ -91,7 +91,7 @@
         stopped: Callable[[], bool],
         free: bool = True,
         write_by: float = math.inf,
-    ) -> Steps[Result]:
+    ) -> Steps[AttemptResult]:
         """Make one attempt, not written after ``write_by``; ``free`` says that running it twice does no harm."""
 
 
@@ -127,7 +127,9 @@
     def pools(self, request: Request) -> tuple[str, ...]:
         """Return the pools that a request may go to, in order of preference; empty for all servers."""
 
-    def ended(self, request: Request, pools: tuple[str, ...], server: str, result: Result, took_ms: float) -> None:
+    def ended(
+        self, request: Request, pools: tuple[str, ...], server: str, result: AttemptResult, took_ms: float
+    ) -> None:
         """Called with the result of a request's first attempt."""
 
 
@@ -268,12 +270,14 @@
                 self.counts.add("sent", result.ending.value)
                 if self.on_attempt_end is not None:
                     self.on_attempt_end(action.server, result.ending)
-                may_have_run |= result.reach > Reach.UNWRITTEN and result.ending is not Ending.FULL
+                may_have_run |= result.progress > AttemptProgress.UNWRITTEN and result.ending is not Ending.FULL
                 gone, shutting_down = caller.gone, now_ms() >= self.answer_by  # read once, for a consistent view below
                 if gone:  # reported before the attempt's outcome, so that the module starts no further attempt
                     self.tell(api.ClientGone(in_flight.id))
                 served = result.ending is Ending.OK
-                started_at = max(started_at, result.asked_at)  # a client's slow upload must not count as server latency
+                started_at = max(
+                    started_at, result.body_sent_at
+                )  # a client's slow upload must not count as server latency
                 self.tell(
                     api.Outcome(
                         in_flight.id,
--- a/petrelhall/links/bounds.py
+++ b/petrelhall/links/bounds.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from petrelhall.links.inventory import Inventory
-from petrelhall.links.server import Box
+from petrelhall.links.server import ServerConnections
 from petrelhall.operator.settings import Links
 
 REFUSAL_BACKOFF_FACTOR = 0.7  # applied to a server's bound after it refused a connection
@@ -25,14 +25,14 @@
         self.most = min(settings.total or self.capacity, self.capacity)
         self.total = float(self.most)
 
-    def bound(self, now: float, server: Box) -> float:
+    def bound(self, now: float, server: ServerConnections) -> float:
         """Return how many connections a server may have now; a lowered bound grows by one per second."""
         most = self.per_server
-        if server.bound < most and now - server.grown >= GROWTH_INTERVAL_MS:
-            steps = int((now - server.grown) / GROWTH_INTERVAL_MS)
-            server.bound, server.grown = (
+        if server.bound < most and now - server.bound_changed_at >= GROWTH_INTERVAL_MS:
+            steps = int((now - server.bound_changed_at) / GROWTH_INTERVAL_MS)
+            server.bound, server.bound_changed_at = (
                 min(float(most), server.bound + steps),
-                server.grown + steps * GROWTH_INTERVAL_MS,
+                server.bound_changed_at + steps * GROWTH_INTERVAL_MS,
             )
         return server.bound
 
@@ -44,10 +44,10 @@
             self.total_changed_at += steps * TOTAL_GROWTH_INTERVAL_MS
         return self.total
 
-    def lower(self, now: float, server: Box, established: int) -> None:
+    def lower(self, now: float, server: ServerConnections, established: int) -> None:
         """Lower the bound of a server that accepts no more connections, to fewer than it refused."""
         server.bound = max(1.0, min(REFUSAL_BACKOFF_FACTOR * self.bound(now, server), float(max(1, established))))
-        server.grown = now
+        server.bound_changed_at = now
         self.inventory.counts["bound.cut"] += 1
 
     def lower_total(self, now: float) -> None:
--- a/petrelhall/links/inventory.py
+++ b/petrelhall/links/inventory.py
@@ -1,51 +1,51 @@
-"""All connections of one gateway: how many there are, which are idle, and which are to be closed. Pure."""
+"""All connections of one gateway: counts, idle connections and connections to close. No I/O."""
 
 from __future__ import annotations
 
 from collections import Counter
 
-from petrelhall.links.connection import Link, State
-from petrelhall.links.server import Box
+from petrelhall.links.connection import ConnectionRecord, ConnectionState
+from petrelhall.links.server import ServerConnections
 
 
 class Inventory:
-    """Every connection from the moment that it begins to come up until it is closed.
+    """Tracks every connection from the start of connecting until it is closed.
 
-    ``closing`` holds what is to be closed, with the cause, until the shell takes it.
+    ``closing`` lists connections to close, with the cause, until the connection pool closes them.
     """
 
     def __init__(self) -> None:
         self.open = self.opening = 0
-        self.idle: dict[Link, None] = {}  # all idle connections, the longest idle first
-        self.leaving: dict[int, Box] = {}  # not listed any more, with connections still in use, by identity
-        self.closing: list[tuple[Link, str]] = []
+        self.idle: dict[ConnectionRecord, None] = {}  # all idle connections, longest idle first
+        self.draining: dict[int, ServerConnections] = {}  # no longer listed but with connections in use; keyed by id()
+        self.closing: list[tuple[ConnectionRecord, str]] = []
         self.counts: Counter[str] = Counter()
 
-    def retire(self, link: Link, cause: str) -> None:
-        """Take an idle connection out for good; the shell finds it in ``closing``."""
-        self.take_out(link, cause)
-        self.closing.append((link, cause))
+    def retire(self, record: ConnectionRecord, cause: str) -> None:
+        """Remove an idle connection and queue it in ``closing``."""
+        self.remove_idle(record, cause)
+        self.closing.append((record, cause))
 
-    def take_out(self, link: Link, cause: str) -> None:
-        """Count an idle connection out, and why."""
-        self.out_of_idle(link)
-        self.close_counted(link)
+    def remove_idle(self, record: ConnectionRecord, cause: str) -> None:
+        """Remove an idle connection and count the cause."""
+        self.detach_idle(record)
+        self.mark_closed(record)
         self.counts["retired." + cause] += 1
 
-    def out_of_idle(self, link: Link) -> None:
-        """Take a connection out of the idle ones."""
-        idle = link.box.idle
-        if idle[-1] is link:
+    def detach_idle(self, record: ConnectionRecord) -> None:
+        """Remove a connection from the idle lists."""
+        idle = record.server.idle
+        if idle[-1] is record:
             idle.pop()
-        elif idle[0] is link:
+        elif idle[0] is record:
             del idle[0]
         else:
-            idle.remove(link)
-        del self.idle[link]
+            idle.remove(record)
+        del self.idle[record]
 
-    def close_counted(self, link: Link) -> None:
-        """Count a connection out."""
-        link.state = State.CLOSED
+    def mark_closed(self, record: ConnectionRecord) -> None:
+        """Mark a connection as closed and update the totals."""
+        record.state = ConnectionState.CLOSED
         self.open -= 1
-        if not link.box.listed and not link.box.open:
-            self.leaving.pop(id(link.box), None)
+        if not record.server.listed and not record.server.open:
+            self.draining.pop(id(record.server), None)
--- a/petrelhall/links/opening.py
+++ b/petrelhall/links/opening.py
@@ -5,9 +5,9 @@
 import random
 
 from petrelhall.links.bounds import Bounds
-from petrelhall.links.connection import Link, Wait
+from petrelhall.links.connection import ConnectionRecord, Wait
 from petrelhall.links.inventory import Inventory
-from petrelhall.links.server import Box
+from petrelhall.links.server import ServerConnections
 from petrelhall.links.slow_start import SlowStart
 from petrelhall.operator.settings import Links
 
@@ -31,7 +31,7 @@
         self.settings, self.inventory, self.bounds, self.slow_start = settings, inventory, bounds, slow_start
         self.random = draw
 
-    def required_wait(self, now: float, server: Box) -> Wait | None:
+    def required_wait(self, now: float, server: ServerConnections) -> Wait | None:
         """Return how long and why no connection to a server may be opened, or None if one may be opened now.
 
         Retires idle connections where that brings the count below a bound.
@@ -58,42 +58,42 @@
                 return Wait(WAIT_RETRY_MS, "total")
         return None
 
-    def begin(self, now: float, server: Box, preconnected: bool) -> Link:
+    def begin(self, now: float, server: ServerConnections, preconnected: bool) -> ConnectionRecord:
         """Count a new connection, which the connection pool now starts to open."""
         inventory = self.inventory
-        link = Link(server, now, preconnected)
+        link = ConnectionRecord(server, now, preconnected)
         server.opening += 1
         inventory.opening += 1
         inventory.open += 1
-        server.opens += 1
+        server.open_count += 1
         if self.slow_start.cold(now, server):
             server.tokens -= 1.0
             inventory.counts["opened.cold"] += 1
-        server.most = max(server.most, server.open)
+        server.peak_open = max(server.peak_open, server.open)
         inventory.counts["opened.ahead" if preconnected else "opened.needed"] += 1
         if self.settings.max_age_s:
-            link.until = now + 1000.0 * self.settings.max_age_s * self.jitter()
+            link.expires_at = now + 1000.0 * self.settings.max_age_s * self.jitter()
         if self.settings.max_uses:
-            link.last_use = max(1, int(self.settings.max_uses * self.jitter()))
+            link.max_uses = max(1, int(self.settings.max_uses * self.jitter()))
         return link
 
     def jitter(self) -> float:
         """Return a random factor close to 1."""
         return 1.0 + RETIREMENT_JITTER * (2.0 * self.random.random() - 1.0)
 
-    def preconnect(self, now: float, server: Box, preconnected: list[Link]) -> None:
+    def preconnect(self, now: float, server: ServerConnections, preconnected: list[ConnectionRecord]) -> None:
         """Open one spare connection beyond a server's recent use, where requests had to wait for new connections.
 
         A connection that is opened is appended to ``preconnected``.
         """
         if (
-            now < server.ahead_from
-            or server.dead_at
-            or server.kept_ms < MIN_PRECONNECT_LIFETIME_MS
+            now < server.preconnect_allowed_at
+            or server.found_dead_at
+            or server.idle_limit_ms < MIN_PRECONNECT_LIFETIME_MS
             or self.slow_start.cold(now, server)
         ):
             return
-        wanted = max(server.peak, server.last_peak) + self.settings.ahead
+        wanted = max(server.peak_in_use, server.previous_peak_in_use) + self.settings.ahead
         if server.open + 1 > min(
             wanted, self.bounds.bound(now, server)
         ) or self.inventory.open + 1 > self.bounds.total_bound(now):
@@ -101,10 +101,12 @@
         if self.required_wait(now, server) is None:
             preconnected.append(self.begin(now, server, True))
 
-    def record_unused(self, now: float, link: Link) -> None:
+    def record_unused(self, now: float, link: ConnectionRecord) -> None:
         """Record a connection that ended; if it was preconnected and never used, pause, longer each time."""
-        if link.ahead and not link.uses:
-            server = link.box
-            server.ahead_from = now + min(MAX_PRECONNECT_PAUSE_MS, PRECONNECT_PAUSE_MS * 2.0 ** min(10, server.wasted))
-            server.wasted += 1
+        if link.preconnected and not link.uses:
+            server = link.server
+            server.preconnect_allowed_at = now + min(
+                MAX_PRECONNECT_PAUSE_MS, PRECONNECT_PAUSE_MS * 2.0 ** min(10, server.wasted_preconnects)
+            )
+            server.wasted_preconnects += 1
             self.inventory.counts["ahead.wasted"] += 1
--- a/petrelhall/links/reuse.py
+++ b/petrelhall/links/reuse.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Iterable
 
-from petrelhall.links.connection import Link
+from petrelhall.links.connection import ConnectionRecord
 from petrelhall.links.inventory import Inventory
-from petrelhall.links.server import Box
+from petrelhall.links.server import ServerConnections
 from petrelhall.links.staleness import StalenessTracker
 
 # A server's idle limits are computed again after this time, or at once after a connection was found dead.
@@ -27,20 +27,20 @@
     def __init__(self, order: str, inventory: Inventory, staleness: StalenessTracker) -> None:
         self.order, self.inventory, self.staleness = order, inventory, staleness
 
-    def pick(self, now: float, server: Box, repeatable: bool) -> Link | None:
+    def pick(self, now: float, server: ServerConnections, repeatable: bool) -> ConnectionRecord | None:
         """Return an idle connection to a server, or None; retires those that must not be used again.
 
         ``repeatable`` says that running the request twice does no harm, so that a connection which may be dead is
         acceptable.
         """
-        if now - server.looked > ESTIMATE_MAX_AGE_MS:
+        if now - server.limits_updated_at > ESTIMATE_MAX_AGE_MS:
             self.staleness.refresh_limits(now, server)
-        max_idle_ms = min(server.kept_ms, server.hold_ms)
+        max_idle_ms = min(server.idle_limit_ms, server.provisional_idle_limit_ms)
         while server.idle and now - server.idle[0].idle_since >= max_idle_ms:  # sorted by idle time, longest first
             self.inventory.retire(server.idle[0], "idle")
         if not server.idle:
             return None
-        safe_idle_ms = max_idle_ms if repeatable else min(max_idle_ms, server.sure_ms)
+        safe_idle_ms = max_idle_ms if repeatable else min(max_idle_ms, server.proven_idle_limit_ms)
         order = self.order
         if order == "last_used":
             # A connection will be needed again if as many were in use recently. It is used before it grows too old,
@@ -50,35 +50,35 @@
             if (
                 idle_ms > REFRESH_SHARE * max_idle_ms
                 and idle_ms < safe_idle_ms
-                and server.open <= max(server.peak, server.last_peak)
-                and now < oldest.until
-                and oldest.idle_since >= server.doubt
+                and server.open <= max(server.peak_in_use, server.previous_peak_in_use)
+                and now < oldest.expires_at
+                and oldest.idle_since >= server.suspected_before
             ):
                 return oldest
-            candidates: Iterable[Link] = reversed(server.idle)
+            candidates: Iterable[ConnectionRecord] = reversed(server.idle)
         elif order == "oldest":
-            candidates = sorted(server.idle, key=lambda link: link.opened)
+            candidates = sorted(server.idle, key=lambda link: link.opened_at)
         else:
             candidates = sorted(server.idle, key=lambda link: link.uses)
         for link in candidates:
             if link.uses and now - link.idle_since < REUSE_DELAY_MS:
                 continue
-            if now >= link.until:
+            if now >= link.expires_at:
                 self.inventory.retire(link, "age")
                 return self.pick(now, server, repeatable)
             if now - link.idle_since >= safe_idle_ms:
                 if order == "last_used":
                     return None  # all remaining candidates have been idle for longer
                 continue
-            link.tried = link.idle_since < server.doubt
-            if link.tried:
-                if not repeatable or server.trying:
+            link.suspected = link.idle_since < server.suspected_before
+            if link.suspected:
+                if not repeatable or server.probing_suspect:
                     continue
-                server.trying = True
+                server.probing_suspect = True
             return link
         return None
 
-    def reuse_delay_left_ms(self, now: float, server: Box, wait_ms: float) -> float:
+    def reuse_delay_left_ms(self, now: float, server: ServerConnections, wait_ms: float) -> float:
         """Return the ms until a server's last used connection may be reused, 0 if that is not worth waiting for.
 
         Opening a connection costs the server work and takes longer than the delay, and the waiting connection should
@@ -86,5 +86,5 @@
         and then one is there whose delay is over. ``wait_ms`` is how long a request may wait for a connection.
         """
         left = REUSE_DELAY_MS - (now - server.idle[-1].idle_since) if server.idle and server.idle[-1].uses else 0.0
-        often = server.rests >= MAX_REUSE_WAITS and server.open + 1 <= server.bound
+        often = server.rest_waits >= MAX_REUSE_WAITS and server.open + 1 <= server.bound
         return max(1.0, left) if 0.0 < left and wait_ms > REUSE_DELAY_MS and not often else 0.0
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -18,7 +18,7 @@
     bucket_start_ms,
 )
 from petrelhall.links.opening import WAIT_RETRY_MS
-from petrelhall.links.plan import End, Link, No, Plan, State, Wait
+from petrelhall.links.plan import ConnectFailure, ConnectionPlan, ConnectionRecord, ConnectionState, Unavailable, Wait
 from petrelhall.links.reuse import MAX_REUSE_WAITS, REUSE_DELAY_MS
 from petrelhall.links.staleness import DEATH_SPAN_MS
 from petrelhall.operator.settings import Cold, Links, Stale
@@ -145,25 +145,29 @@
         seed: int = 0,
         now: float = T0,
         **settings: object,
-    ) -> Plan:
-        plan = Plan(Links(**settings), room, idle_ms, 10000.0, gateways, seed)  # type: ignore[arg-type]
+    ) -> ConnectionPlan:
+        plan = ConnectionPlan(Links(**settings), room, idle_ms, 10000.0, gateways, seed)  # type: ignore[arg-type]
         for number in range(servers):
-            plan.listed(now, f"b{number}", ("127.0.0.1", 1000 + number), started)
+            plan.add_server(now, f"b{number}", ("127.0.0.1", 1000 + number), started)
         return plan
 
-    def take_busy(self, plan: Plan, now: float = T0, server: str = "b0", repeatable: bool = True) -> Link:
+    def take_busy(
+        self, plan: ConnectionPlan, now: float = T0, server: str = "b0", repeatable: bool = True
+    ) -> ConnectionRecord:
         """Take a connection, complete its opening if it is new, and return it in state BUSY."""
-        link = plan.take(now, server, repeatable)
-        assert isinstance(link, Link), link
-        if link.state is State.OPENING:
-            plan.opened(now, link)
+        link = plan.acquire(now, server, repeatable)
+        assert isinstance(link, ConnectionRecord), link
+        if link.state is ConnectionState.OPENING:
+            plan.on_opened(now, link)
         return link
 
-    def answer_and_release(self, plan: Plan, now: float, link: Link) -> None:
-        plan.answered(now, link)
-        plan.put(now, link, True)
+    def answer_and_release(self, plan: ConnectionPlan, now: float, link: ConnectionRecord) -> None:
+        plan.on_response(now, link)
+        plan.release(now, link, True)
 
-    def make_idle(self, plan: Plan, count: int, now: float = T0, server: str = "b0") -> list[Link]:
+    def make_idle(
+        self, plan: ConnectionPlan, count: int, now: float = T0, server: str = "b0"
+    ) -> list[ConnectionRecord]:
         links = [self.take_busy(plan, now, server) for _ in range(count)]
         for link in links:
             self.answer_and_release(plan, now, link)
@@ -175,16 +179,16 @@
 
     def test_a_thousand_requests_on_a_new_gateway_open_no_more_than_the_bound_on_opening(self) -> None:
         plan = self.plan(room=2000, servers=4, per_box=500)
-        results = [plan.take(T0, f"b{number % 4}", True) for number in range(1000)]
-        self.assertEqual(sum(isinstance(result, Link) for result in results), 64)
-        self.assertTrue(all(isinstance(result, Link | Wait) for result in results))
-        self.assertLessEqual(max(server.opening for server in plan.boxes.values()), 16)
+        results = [plan.acquire(T0, f"b{number % 4}", True) for number in range(1000)]
+        self.assertEqual(sum(isinstance(result, ConnectionRecord) for result in results), 64)
+        self.assertTrue(all(isinstance(result, ConnectionRecord | Wait) for result in results))
+        self.assertLessEqual(max(server.opening for server in plan.servers.values()), 16)
 
     def test_a_server_never_has_more_connections_than_its_bound(self) -> None:
         plan = self.plan(per_box=5)
         for _ in range(5):
             self.take_busy(plan)
-        self.assertEqual(plan.take(T0, "b0", True), Wait(WAIT_RETRY_MS, "box_bound"))
+        self.assertEqual(plan.acquire(T0, "b0", True), Wait(WAIT_RETRY_MS, "box_bound"))
 
     def test_200_servers_share_the_connections_that_256_descriptors_allow(self) -> None:
         plan = self.plan(room=80, servers=200)
@@ -194,15 +198,15 @@
             self.assertLessEqual(plan.open, 80)
         self.assertGreater(plan.counts["retired.room"], 1000)
         busy = [self.take_busy(plan, T0 + 3000.0, f"b{number}") for number in range(80)]
-        self.assertEqual(plan.take(T0 + 3000.0, "b90", True), Wait(WAIT_RETRY_MS, "total"))
+        self.assertEqual(plan.acquire(T0 + 3000.0, "b90", True), Wait(WAIT_RETRY_MS, "total"))
         self.assertEqual(len(busy), 80)
 
     def test_a_bound_halved_by_reload_closes_busy_connections_as_they_come_free(self) -> None:
         plan = self.plan(per_box=8)
         links = [self.take_busy(plan) for _ in range(8)]
         plan.configure(Links(per_box=4, cold=Cold(at_once=2)))
-        self.assertIsInstance(plan.take(T0, "b0", True), Wait)
-        kept = [plan.put(T0, link, True) for link in links]
+        self.assertIsInstance(plan.acquire(T0, "b0", True), Wait)
+        kept = [plan.release(T0, link, True) for link in links]
         self.assertEqual(sum(kept), 4)
         self.assertEqual(plan.open, 4)
 
@@ -216,16 +220,16 @@
         plan = self.plan(room=100, servers=2)
         for _ in range(10):
             self.take_busy(plan)
-        link = plan.take(T0, "b1", True)
-        assert isinstance(link, Link)
-        self.assertFalse(plan.failed(T0, link, End.OURS))  # not a fault of the server
-        self.assertIsInstance(plan.take(T0, "b1", True), Wait)
-        self.assertIsInstance(plan.take(T0 + 600.0, "b1", True), Link)
-        self.assertIsInstance(plan.take(T0 + 600.0, "b1", True), Wait)
+        link = plan.acquire(T0, "b1", True)
+        assert isinstance(link, ConnectionRecord)
+        self.assertFalse(plan.on_connect_failed(T0, link, ConnectFailure.OURS))  # not a fault of the server
+        self.assertIsInstance(plan.acquire(T0, "b1", True), Wait)
+        self.assertIsInstance(plan.acquire(T0 + 600.0, "b1", True), ConnectionRecord)
+        self.assertIsInstance(plan.acquire(T0 + 600.0, "b1", True), Wait)
 
     def test_4_gateways_share_a_server_limited_to_8_connections_without_coordination(self) -> None:
         plans = [self.plan(seed=seed, gateways=4) for seed in range(4)]
-        in_use: list[tuple[Plan, Link, float]] = []
+        in_use: list[tuple[ConnectionPlan, ConnectionRecord, float]] = []
         draw, found_dead, late_refusals = random.Random(1), 0, 0
         served = [0] * 4
         for step in range(60000):
@@ -234,18 +238,18 @@
                 in_use.remove(entry)
                 self.answer_and_release(entry[0], now, entry[1])
             number = draw.randrange(4)
-            link = plans[number].take(now, "b0", True)
+            link = plans[number].acquire(now, "b0", True)
             for plan in plans:
                 plan.closing.clear()
-            if not isinstance(link, Link):
+            if not isinstance(link, ConnectionRecord):
                 continue
-            if link.state is State.OPENING:
+            if link.state is ConnectionState.OPENING:
                 connections = sum(plan.open for plan in plans) - 1
                 if connections >= 8:
                     late_refusals += step > 30000
-                    found_dead += plans[number].failed(now, link, End.REFUSED) and step > 30000
+                    found_dead += plans[number].on_connect_failed(now, link, ConnectFailure.REFUSED) and step > 30000
                     continue
-                plans[number].opened(now, link)
+                plans[number].on_opened(now, link)
             served[number] += 1
             in_use.append((plans[number], link, now + 30.0))
         self.assertEqual(found_dead, 0)
@@ -256,10 +260,10 @@
         plan = self.plan()
         self.make_idle(plan, 3)
         busy = [self.take_busy(plan, T0 + 1600.0) for _ in range(3)]
-        link = plan.take(T0 + 1600.0, "b0", True)
-        assert isinstance(link, Link)
-        plan.put(T0 + 1600.0, busy[0], True)
-        self.assertTrue(plan.failed(T0 + 1600.0, link, End.REFUSED))
+        link = plan.acquire(T0 + 1600.0, "b0", True)
+        assert isinstance(link, ConnectionRecord)
+        plan.release(T0 + 1600.0, busy[0], True)
+        self.assertTrue(plan.on_connect_failed(T0 + 1600.0, link, ConnectFailure.REFUSED))
         self.assertEqual([cause for _, cause in plan.closing], ["dead"])
 
     def test_a_server_that_just_answered_is_dead_only_after_repeated_refusals(self) -> None:
@@ -269,20 +273,20 @@
             self.take_busy(plan, T0 + 10.0 + REUSE_DELAY_MS)
         verdicts = []
         for step in range(3):
-            plan.boxes["b0"].bound = 64.0
-            link = plan.take(T0 + 20.0 + REUSE_DELAY_MS + step, "b0", True)
-            assert isinstance(link, Link)
-            verdicts.append(plan.failed(T0 + 20.0 + REUSE_DELAY_MS + step, link, End.REFUSED))
+            plan.servers["b0"].bound = 64.0
+            link = plan.acquire(T0 + 20.0 + REUSE_DELAY_MS + step, "b0", True)
+            assert isinstance(link, ConnectionRecord)
+            verdicts.append(plan.on_connect_failed(T0 + 20.0 + REUSE_DELAY_MS + step, link, ConnectFailure.REFUSED))
         self.assertEqual(verdicts, [False, False, True])
 
     def test_a_connection_reset_while_opening_lowers_the_bound_which_grows_by_one_per_second(self) -> None:
         plan = self.plan()
         links = [self.take_busy(plan) for _ in range(10)]
-        link = plan.take(T0, "b0", True)
-        assert isinstance(link, Link)
-        self.assertFalse(plan.failed(T0, link, End.RESET))
-        self.assertEqual(plan.bound(T0, plan.boxes["b0"]), 10.0)
-        self.assertEqual(plan.bound(T0 + 3000.0, plan.boxes["b0"]), 13.0)
+        link = plan.acquire(T0, "b0", True)
+        assert isinstance(link, ConnectionRecord)
+        self.assertFalse(plan.on_connect_failed(T0, link, ConnectFailure.RESET))
+        self.assertEqual(plan.bound(T0, plan.servers["b0"]), 10.0)
+        self.assertEqual(plan.bound(T0 + 3000.0, plan.servers["b0"]), 13.0)
         self.assertEqual(len(links), 10)
 
 
@@ -293,68 +297,68 @@
         plan = self.plan(started=T0 - 1.0)
         opened = 0
         for step in range(1000):  # 1,250 requests/s, each of which keeps its connection
-            link = plan.take(T0 + 0.8 * step, "b0", True)
-            if isinstance(link, Link):
+            link = plan.acquire(T0 + 0.8 * step, "b0", True)
+            if isinstance(link, ConnectionRecord):
                 opened += 1
-                plan.opened(T0 + 0.8 * step, link)
+                plan.on_opened(T0 + 0.8 * step, link)
         self.assertGreater(opened, 3)
         self.assertLess(opened, 14)  # 12 per second, and the increase as the server warms up
         warm = T0 + 20000.0
-        self.assertIsInstance(plan.take(warm, "b0", True), Link)
-        self.assertIsInstance(plan.take(warm, "b0", True), Link)
+        self.assertIsInstance(plan.acquire(warm, "b0", True), ConnectionRecord)
+        self.assertIsInstance(plan.acquire(warm, "b0", True), ConnectionRecord)
 
     def test_slow_start_applies_where_the_time_to_warm_up_is_not_configured(self) -> None:
         opened = []
         for started in (T0 - 1.0, 0.0):  # just now; long ago
-            plan = Plan(Links(), 400, 30000.0)
-            plan.listed(T0, "b0", ("127.0.0.1", 9), started)
+            plan = ConnectionPlan(Links(), 400, 30000.0)
+            plan.add_server(T0, "b0", ("127.0.0.1", 9), started)
             opened.append(0)
             for step in range(1000):
-                link = plan.take(T0 + 0.8 * step, "b0", True)
-                if isinstance(link, Link):
+                link = plan.acquire(T0 + 0.8 * step, "b0", True)
+                if isinstance(link, ConnectionRecord):
                     opened[-1] += 1
-                    plan.opened(T0 + 0.8 * step, link)
+                    plan.on_opened(T0 + 0.8 * step, link)
         self.assertLess(opened[0], 14)
         self.assertGreater(opened[1], opened[0])
 
     def test_a_cold_server_that_is_slow_to_accept_has_at_most_two_connections_opening(self) -> None:
         plan = self.plan(started=T0 - 1.0)
-        results = [plan.take(T0 + 100.0 * step, "b0", True) for step in range(50)]
-        self.assertEqual(sum(isinstance(result, Link) for result in results), 2)
+        results = [plan.acquire(T0 + 100.0 * step, "b0", True) for step in range(50)]
+        self.assertEqual(sum(isinstance(result, ConnectionRecord) for result in results), 2)
 
     def test_40_gateways_do_not_all_connect_at_once_to_a_server_that_just_started(self) -> None:
         plans = [self.plan(started=T0 - 1.0, gateways=40, seed=seed) for seed in range(40)]
         opened = 0
         for step in range(100):
             for plan in plans:
-                link = plan.take(T0 + 10.0 * step, "b0", True)
-                if isinstance(link, Link):
+                link = plan.acquire(T0 + 10.0 * step, "b0", True)
+                if isinstance(link, ConnectionRecord):
                     opened += 1
-                    plan.opened(T0 + 10.0 * step, link)
+                    plan.on_opened(T0 + 10.0 * step, link)
         self.assertLess(opened, 30)
 
     def test_a_server_added_to_a_list_without_start_times_counts_as_just_started(self) -> None:
         plan = self.plan(started=None)
-        plan.listed(T0 + 60000.0, "new", ("127.0.0.1", 9), None)
-        self.assertFalse(plan.cold(T0 + 60000.0, plan.boxes["b0"]))
-        self.assertTrue(plan.cold(T0 + 60000.0, plan.boxes["new"]))
+        plan.add_server(T0 + 60000.0, "new", ("127.0.0.1", 9), None)
+        self.assertFalse(plan.cold(T0 + 60000.0, plan.servers["b0"]))
+        self.assertTrue(plan.cold(T0 + 60000.0, plan.servers["new"]))
 
     def test_a_dead_server_that_accepts_again_is_cold_before_the_list_reports_a_restart(self) -> None:
         plan = self.plan()
-        link = plan.take(T0, "b0", True)
-        assert isinstance(link, Link)
-        self.assertTrue(plan.failed(T0, link, End.REFUSED))
+        link = plan.acquire(T0, "b0", True)
+        assert isinstance(link, ConnectionRecord)
+        self.assertTrue(plan.on_connect_failed(T0, link, ConnectFailure.REFUSED))
         self.take_busy(plan, T0 + 1000.0)
-        self.assertTrue(plan.cold(T0 + 1000.0, plan.boxes["b0"]))
+        self.assertTrue(plan.cold(T0 + 1000.0, plan.servers["b0"]))
 
     def test_a_server_whose_connections_all_end_at_once_is_cold_and_yields_no_idle_limit(self) -> None:
         plan = self.plan()
         links = self.make_idle(plan, 5)
         for number, link in enumerate(links):
-            plan.closed(T0 + 700.0 + number, link)
+            plan.on_idle_closed(T0 + 700.0 + number, link)
         plan.tick(T0 + 700.0 + 2 * DEATH_SPAN_MS)
-        self.assertTrue(plan.cold(T0 + 800.0, plan.boxes["b0"]))
-        self.assertEqual(plan.boxes["b0"].survival.idle_limit_ms(T0 + 1000.0, 0.01), NEVER)
+        self.assertTrue(plan.cold(T0 + 800.0, plan.servers["b0"]))
+        self.assertEqual(plan.servers["b0"].survival.idle_limit_ms(T0 + 1000.0, 0.01), NEVER)
 
     def test_gateways_started_together_open_their_first_connections_in_different_orders(self) -> None:
         first_servers = set()
@@ -362,8 +366,8 @@
             plan = self.plan(servers=20, seed=seed, warm_up_ms=2000.0)
             order = []
             for step in range(25):
-                order += [link.box.id for link in plan.tick(T0 + 100.0 * step)]
-            self.assertEqual(sorted(order), sorted(plan.boxes))
+                order += [link.server.id for link in plan.tick(T0 + 100.0 * step)]
+            self.assertEqual(sorted(order), sorted(plan.servers))
             first_servers.add(order[0])
         self.assertGreater(len(first_servers), 4)
 
@@ -372,10 +376,10 @@
         links = [self.take_busy(plan) for _ in range(3)]
         spares = plan.tick(T0 + 100.0)
         self.assertEqual(len(spares), 1)
-        plan.opened(T0 + 101.0, spares[0])
-        plan.put(T0 + 101.0, spares[0], True)
+        plan.on_opened(T0 + 101.0, spares[0])
+        plan.release(T0 + 101.0, spares[0], True)
         self.assertEqual(plan.tick(T0 + 200.0), [])  # there is a spare connection already
-        plan.closed(T0 + 300.0, spares[0])  # it was never used
+        plan.on_idle_closed(T0 + 300.0, spares[0])  # it was never used
         links += [self.take_busy(plan, T0 + 310.0) for _ in range(3)]
         self.assertEqual(plan.tick(T0 + 400.0), [])
         links += [self.take_busy(plan, T0 + 3000.0) for _ in range(3)]
@@ -393,34 +397,34 @@
                 links = [self.take_busy(plan, T0 + number) for number in range(3)]
                 for number, uses in enumerate((3, 1, 2)):
                     links[number].uses = uses
-                    plan.put(T0 + 10.0 + number, links[number], True)
-                self.assertIs(plan.take(T0 + 20.0 + REUSE_DELAY_MS, "b0", True), links[expected])
+                    plan.release(T0 + 10.0 + number, links[number], True)
+                self.assertIs(plan.acquire(T0 + 20.0 + REUSE_DELAY_MS, "b0", True), links[expected])
 
     def test_a_connection_is_not_reused_at_once_after_an_answer_and_none_is_opened_or_closed_meanwhile(self) -> None:
         plan = self.plan(per_box=1)
         link = self.take_busy(plan, T0)
         link.uses = 1
-        plan.put(T0 + 10.0, link, True)
-        wait = plan.take(T0 + 12.0, "b0", True)
+        plan.release(T0 + 10.0, link, True)
+        wait = plan.acquire(T0 + 12.0, "b0", True)
         self.assertEqual(wait, Wait(REUSE_DELAY_MS - 2.0, "resting"))
-        self.assertIs(plan.take(T0 + 10.0 + REUSE_DELAY_MS, "b0", True), link)
+        self.assertIs(plan.acquire(T0 + 10.0 + REUSE_DELAY_MS, "b0", True), link)
         self.assertEqual((plan.open, plan.closing), (1, []))
         plan = self.plan()  # if requests come so often that each would wait, another connection is opened
         link = self.take_busy(plan, T0)
         link.uses = 1
-        plan.put(T0 + 10.0, link, True)
-        results = [plan.take(T0 + 12.0, "b0", True) for _ in range(MAX_REUSE_WAITS + 1)]
-        self.assertEqual([type(result) for result in results], [Wait] * MAX_REUSE_WAITS + [Link])
+        plan.release(T0 + 10.0, link, True)
+        results = [plan.acquire(T0 + 12.0, "b0", True) for _ in range(MAX_REUSE_WAITS + 1)]
+        self.assertEqual([type(result) for result in results], [Wait] * MAX_REUSE_WAITS + [ConnectionRecord])
         plan.tick(T0 + 2000.0)  # a new window
-        plan.put(T0 + 2000.0, results[-1], True)
+        plan.release(T0 + 2000.0, results[-1], True)
         results[-1].uses = 1
-        self.assertIs(plan.take(T0 + 2001.0, "b0", True), link)
-        self.assertIsInstance(plan.take(T0 + 2001.0, "b0", True), Wait)
+        self.assertIs(plan.acquire(T0 + 2001.0, "b0", True), link)
+        self.assertIsInstance(plan.acquire(T0 + 2001.0, "b0", True), Wait)
         plan = self.plan(wait_ms=REUSE_DELAY_MS / 2.0)  # if requests may not wait so long, another is opened
         link = self.take_busy(plan, T0)
         link.uses = 1
-        plan.put(T0 + 10.0, link, True)
-        self.assertIsNot(plan.take(T0 + 12.0, "b0", True), link)
+        plan.release(T0 + 10.0, link, True)
+        self.assertIsNot(plan.acquire(T0 + 12.0, "b0", True), link)
         self.assertEqual(plan.open, 2)
 
     def test_a_connection_that_is_still_needed_is_used_before_it_gets_too_old(self) -> None:
@@ -434,63 +438,65 @@
         self.answer_and_release(plan, T0 + 610.0, link)
         for step in range(3):  # without use the peak falls to 0: no need to use the oldest first
             plan.tick(T0 + 1000.0 * step)
-        self.assertEqual(plan.boxes["b0"].last_peak, 0)
+        self.assertEqual(plan.servers["b0"].previous_peak_in_use, 0)
 
     def test_after_a_death_no_connection_idle_as_long_is_used_even_before_the_death_is_evaluated(self) -> None:
         plan = self.plan()
         self.make_idle(plan, 4)
         link = self.take_busy(plan, T0 + 900.0)
-        plan.broke(T0 + 900.0, link)
-        plan.put(T0 + 900.0, link, False)
-        fresh = plan.take(T0 + 901.0, "b0", True)
-        assert isinstance(fresh, Link)
-        self.assertIs(fresh.state, State.OPENING)
+        plan.on_broken(T0 + 900.0, link)
+        plan.release(T0 + 900.0, link, False)
+        fresh = plan.acquire(T0 + 901.0, "b0", True)
+        assert isinstance(fresh, ConnectionRecord)
+        self.assertIs(fresh.state, ConnectionState.OPENING)
         self.assertEqual([cause for _, cause in plan.closing], ["idle"] * 3)
 
     def test_after_a_timeout_the_20_idle_connections_of_a_server_are_tried_one_at_a_time(self) -> None:
         plan = self.plan()
         self.make_idle(plan, 20)
         link = self.take_busy(plan, T0 + 100.0)
-        plan.silent(T0 + 600.0, link)
-        plan.put(T0 + 600.0, link, False)
-        tried = plan.take(T0 + 601.0, "b0", True)
-        assert isinstance(tried, Link)
-        self.assertTrue(tried.tried)
-        others = [plan.take(T0 + 602.0, "b0", True) for _ in range(5)]
-        self.assertTrue(all(isinstance(other, Link) and other.state is State.OPENING for other in others))
-        plan.silent(T0 + 1100.0, tried)
-        plan.put(T0 + 1100.0, tried, False)
-        self.assertEqual(len(plan.boxes["b0"].idle), 0)  # all that had been idle as long are retired
+        plan.on_response_timeout(T0 + 600.0, link)
+        plan.release(T0 + 600.0, link, False)
+        tried = plan.acquire(T0 + 601.0, "b0", True)
+        assert isinstance(tried, ConnectionRecord)
+        self.assertTrue(tried.suspected)
+        others = [plan.acquire(T0 + 602.0, "b0", True) for _ in range(5)]
+        self.assertTrue(
+            all(isinstance(other, ConnectionRecord) and other.state is ConnectionState.OPENING for other in others)
+        )
+        plan.on_response_timeout(T0 + 1100.0, tried)
+        plan.release(T0 + 1100.0, tried, False)
+        self.assertEqual(len(plan.servers["b0"].idle), 0)  # all that had been idle as long are retired
 
     def test_a_suspected_connection_that_serves_clears_the_others(self) -> None:
         plan = self.plan()
         self.make_idle(plan, 5)
         link = self.take_busy(plan, T0 + 100.0)
-        plan.silent(T0 + 600.0, link)
-        plan.put(T0 + 600.0, link, False)
+        plan.on_response_timeout(T0 + 600.0, link)
+        plan.release(T0 + 600.0, link, False)
         self.answer_and_release(plan, T0 + 620.0, self.take_busy(plan, T0 + 601.0))
-        self.assertEqual(plan.boxes["b0"].doubt, 0.0)
+        self.assertEqual(plan.servers["b0"].suspected_before, 0.0)
         self.assertIs(self.take_busy(plan, T0 + 630.0).uses > 0, True)
 
     def test_a_request_that_must_not_run_twice_uses_no_suspected_connection(self) -> None:
         plan = self.plan()
         self.make_idle(plan, 5)
         link = self.take_busy(plan, T0 + 100.0)
-        plan.silent(T0 + 600.0, link)
-        plan.put(T0 + 600.0, link, False)
-        result = plan.take(T0 + 601.0, "b0", False)
-        self.assertTrue(isinstance(result, Link) and result.state is State.OPENING)
+        plan.on_response_timeout(T0 + 600.0, link)
+        plan.release(T0 + 600.0, link, False)
+        result = plan.acquire(T0 + 601.0, "b0", False)
+        self.assertTrue(isinstance(result, ConnectionRecord) and result.state is ConnectionState.OPENING)
 
     def test_a_request_that_must_not_run_twice_needs_an_idle_time_that_others_survived(self) -> None:
         plan = self.plan(stale=Stale(proven_ms=500.0))
         self.make_idle(plan, 3)
-        unproven = plan.take(T0 + 2000.0, "b0", False)
-        self.assertTrue(isinstance(unproven, Link) and unproven.state is State.OPENING)
+        unproven = plan.acquire(T0 + 2000.0, "b0", False)
+        self.assertTrue(isinstance(unproven, ConnectionRecord) and unproven.state is ConnectionState.OPENING)
         # A repeatable request shows that connections survive this idle time.
         self.answer_and_release(plan, T0 + 2010.0, self.take_busy(plan, T0 + 2000.0))
-        plan.boxes["b0"].looked = 0.0
+        plan.servers["b0"].limits_updated_at = 0.0
         plan.idle.clear()
-        proven_ms = plan.boxes["b0"].survival.longest_survived_ms(T0 + 2010.0)
+        proven_ms = plan.servers["b0"].survival.longest_survived_ms(T0 + 2010.0)
         self.assertGreater(proven_ms, 1500.0)
 
     def test_a_connection_that_timed_out_while_the_server_answered_on_others_was_dead(self) -> None:
@@ -498,16 +504,16 @@
         self.make_idle(plan, 2)
         old = self.take_busy(plan, T0 + 900.0)
         other = self.take_busy(plan, T0 + 905.0)
-        plan.answered(T0 + 950.0, other)
-        plan.silent(T0 + 1400.0, old)
-        plan.put(T0 + 1400.0, old, False)
+        plan.on_response(T0 + 950.0, other)
+        plan.on_response_timeout(T0 + 1400.0, old)
+        plan.release(T0 + 1400.0, old, False)
         plan.tick(T0 + 1400.0 + 2 * DEATH_SPAN_MS)
-        self.assertLess(plan.boxes["b0"].survival.idle_limit_ms(T0 + 1800.0, 0.01), 900.0)
+        self.assertLess(plan.servers["b0"].survival.idle_limit_ms(T0 + 1800.0, 0.01), 900.0)
 
     def test_the_keep_alive_timeout_announced_by_the_server_is_respected(self) -> None:
         plan = self.plan()
         link = self.take_busy(plan)
-        plan.told(link, 2.0)
+        plan.on_keep_alive_hint(link, 2.0)
         self.answer_and_release(plan, T0, link)
         plan.tick(T0 + 1500.0)
         self.assertEqual(plan.open, 1)
@@ -517,39 +523,39 @@
     def test_connections_are_retired_by_age_and_use_count_and_not_all_at_once(self) -> None:
         plan = self.plan(max_age_s=10.0, max_uses=100)
         links = [self.take_busy(plan) for _ in range(10)]
-        self.assertGreater(len({round(link.until) for link in links}), 5)
-        self.assertTrue(all(8000.0 <= link.until - T0 <= 12000.0 for link in links))
-        self.assertGreater(len({link.last_use for link in links}), 4)
+        self.assertGreater(len({round(link.expires_at) for link in links}), 5)
+        self.assertTrue(all(8000.0 <= link.expires_at - T0 <= 12000.0 for link in links))
+        self.assertGreater(len({link.max_uses for link in links}), 4)
         links[0].uses = 200
-        self.assertFalse(plan.put(T0, links[0], True))
-        self.assertFalse(plan.put(T0 + 12001.0, links[1], True))
+        self.assertFalse(plan.release(T0, links[0], True))
+        self.assertFalse(plan.release(T0 + 12001.0, links[1], True))
         self.assertEqual((plan.counts["retired.uses"], plan.counts["retired.age"]), (1, 1))
 
     def test_connections_of_a_drained_server_close_at_once_or_after_their_answer(self) -> None:
         plan = self.plan()
         links = [self.take_busy(plan) for _ in range(3)]
         self.answer_and_release(plan, T0, links[0])
-        plan.unlisted("b0")
+        plan.remove_server("b0")
         self.assertEqual([cause for _, cause in plan.closing], ["unlisted"])
-        self.assertIs(plan.take(T0, "b0", True), No.UNLISTED)
-        self.assertFalse(plan.put(T0, links[1], True))
-        self.assertFalse(plan.put(T0, links[2], True))
-        self.assertEqual((plan.open, plan.leaving), (0, {}))
+        self.assertIs(plan.acquire(T0, "b0", True), Unavailable.UNLISTED)
+        self.assertFalse(plan.release(T0, links[1], True))
+        self.assertFalse(plan.release(T0, links[2], True))
+        self.assertEqual((plan.open, plan.draining), (0, {}))
 
     def test_a_server_at_a_reused_address_inherits_no_connection(self) -> None:
         plan = self.plan()
         self.make_idle(plan, 3)
-        plan.unlisted("b0")
-        plan.listed(T0 + 10.0, "other", ("127.0.0.1", 1000), T0)
-        link = plan.take(T0 + 20.0, "other", True)
-        self.assertTrue(isinstance(link, Link) and link.state is State.OPENING)
+        plan.remove_server("b0")
+        plan.add_server(T0 + 10.0, "other", ("127.0.0.1", 1000), T0)
+        link = plan.acquire(T0 + 20.0, "other", True)
+        self.assertTrue(isinstance(link, ConnectionRecord) and link.state is ConnectionState.OPENING)
 
     def test_connections_of_a_server_that_moved_or_restarted_are_closed(self) -> None:
         for address, started in ((("127.0.0.1", 7), 0.0), (("127.0.0.1", 1000), T0 + 5.0)):
             with self.subTest(address=address):
                 plan = self.plan()
                 self.make_idle(plan, 3)
-                plan.listed(T0 + 10.0, "b0", address, started)
+                plan.add_server(T0 + 10.0, "b0", address, started)
                 self.assertEqual((plan.open, len(plan.closing)), (0, 3))
 
 
@@ -574,14 +580,14 @@
             warm_up_ms=500.0,
         )
         self.room, self.now = room, T0
-        self.plan = Plan(self.links, room, 3000.0, 2000.0, 2, 7)
-        self.opening: list[Link] = []
-        self.busy: list[Link] = []
-        self.idle: list[Link] = []
+        self.plan = ConnectionPlan(self.links, room, 3000.0, 2000.0, 2, 7)
+        self.opening: list[ConnectionRecord] = []
+        self.busy: list[ConnectionRecord] = []
+        self.idle: list[ConnectionRecord] = []
         self.ended: set[int] = set()
-        self.all: list[Link] = []
+        self.all: list[ConnectionRecord] = []
         for number in range(3):
-            self.plan.listed(self.now, f"b{number}", number, 0.0)
+            self.plan.add_server(self.now, f"b{number}", number, 0.0)
 
     def collect_closing(self) -> None:
         for link, _ in self.plan.closing:
@@ -590,17 +596,17 @@
             self.ended.add(id(link))
         self.plan.closing.clear()
 
-    def add_opening(self, links: list[Link]) -> None:
+    def add_opening(self, links: list[ConnectionRecord]) -> None:
         self.opening += links
         self.all += links
 
     @rule(server=st.integers(0, 3), repeatable=st.booleans())
     def take(self, server: int, repeatable: bool) -> None:
-        result = self.plan.take(self.now, f"b{server}", repeatable)
+        result = self.plan.acquire(self.now, f"b{server}", repeatable)
         self.collect_closing()
-        if isinstance(result, Link):
+        if isinstance(result, ConnectionRecord):
             assert id(result) not in self.ended, "a retired connection was used"
-            if result.state is State.OPENING:
+            if result.state is ConnectionState.OPENING:
                 self.add_opening([result])
             else:
                 assert result in self.idle
@@ -608,30 +614,32 @@
                 self.busy.append(result)
 
     @precondition(lambda self: self.opening)
-    @rule(data=st.data(), end=st.sampled_from([None, *End]))
-    def finish_opening(self, data: st.DataObject, end: End | None) -> None:
+    @rule(data=st.data(), end=st.sampled_from([None, *ConnectFailure]))
+    def finish_opening(self, data: st.DataObject, end: ConnectFailure | None) -> None:
         link = data.draw(st.sampled_from(self.opening))
         self.opening.remove(link)
         if end is None:
-            self.plan.opened(self.now, link)
+            self.plan.on_opened(self.now, link)
             self.busy.append(link)
         else:
-            self.plan.failed(self.now, link, end)
+            self.plan.on_connect_failed(self.now, link, end)
             self.ended.add(id(link))
         self.collect_closing()
 
     @precondition(lambda self: self.busy)
-    @rule(data=st.data(), how=st.sampled_from(("answered", "broke", "silent", "found_closed", "left")))
+    @rule(
+        data=st.data(), how=st.sampled_from(("on_response", "on_broken", "on_response_timeout", "found_closed", "left"))
+    )
     def release(self, data: st.DataObject, how: str) -> None:
         link = data.draw(st.sampled_from(self.busy))
         self.busy.remove(link)
         if how == "found_closed":
-            self.plan.found_closed(self.now, link)
+            self.plan.on_closed_before_use(self.now, link)
             self.ended.add(id(link))
             return self.collect_closing()
         if how != "left":
             getattr(self.plan, how)(self.now, link)
-        if self.plan.put(self.now, link, how == "answered"):
+        if self.plan.release(self.now, link, how == "on_response"):
             self.idle.append(link)
         else:
             self.ended.add(id(link))
@@ -642,7 +650,7 @@
     def close_idle(self, data: st.DataObject) -> None:
         link = data.draw(st.sampled_from(self.idle))
         self.idle.remove(link)
-        self.plan.closed(self.now, link)
+        self.plan.on_idle_closed(self.now, link)
         self.ended.add(id(link))
         self.collect_closing()
 
@@ -654,12 +662,12 @@
 
     @rule(server=st.integers(0, 3), started=st.sampled_from((0.0, None, 1.0)), address=st.integers(0, 4))
     def list_server(self, server: int, started: float | None, address: int) -> None:
-        self.plan.listed(self.now, f"b{server}", address, self.now if started else started)
+        self.plan.add_server(self.now, f"b{server}", address, self.now if started else started)
         self.collect_closing()
 
     @rule(server=st.integers(0, 3))
     def unlist_server(self, server: int) -> None:
-        self.plan.unlisted(f"b{server}")
+        self.plan.remove_server(f"b{server}")
         self.collect_closing()
 
     @rule(per_box=st.integers(2, 6))
@@ -676,12 +684,12 @@
         assert plan.open == len(self.opening) + len(self.busy) + len(self.idle)
         assert plan.opening == len(self.opening)
         assert set(plan.idle) == set(self.idle)
-        servers = [*plan.boxes.values(), *plan.leaving.values()]
+        servers = [*plan.servers.values(), *plan.draining.values()]
         assert sum(server.open for server in servers) == plan.open
         assert plan.open <= self.room
-        assert all(link.box.listed for link in self.idle)
-        for server in plan.boxes.values():
-            opening = [link for link in self.opening if link.box is server]
+        assert all(link.server.listed for link in self.idle)
+        for server in plan.servers.values():
+            opening = [link for link in self.opening if link.server is server]
             assert server.opening == len(opening) <= 3
             assert server.open <= 6
 
