--- a/benchmarks/scale/subjects/discovery.py
+++ b/benchmarks/scale/subjects/discovery.py
@@ -15,13 +15,13 @@
     server_list,
 )
 from benchmarks.scale.sampling import Effort, Samples, cpu_ms
-from petrelhall.boxes.discovery import Watch
-from petrelhall.boxes.fleet import Fleet
+from petrelhall.boxes.discovery import DiscoveryWatch
+from petrelhall.boxes.fleet import ServerRegistry
 from petrelhall.capacity.records import Slope
 from petrelhall.decide.policy import Gateway
 from petrelhall.gateway.dispatch import Dispatcher
 from petrelhall.gateway.platform import Platform
-from petrelhall.http.h1 import Reply
+from petrelhall.http.h1 import HttpResponse
 from petrelhall.links.plan import Plan
 from petrelhall.links.pool import Pool
 from petrelhall.net.counts import Counts
@@ -36,13 +36,13 @@
     """Write no log."""
 
 
-def watch() -> Watch:
+def watch() -> DiscoveryWatch:
     """Put the parts of a gateway that a list of servers goes through together as Program does."""
-    settings, loop, counts, fleet = gateway_settings(), Loop(silent), Counts(), Fleet(ZONES)
+    settings, loop, counts, fleet = gateway_settings(), Loop(silent), Counts(), ServerRegistry(ZONES)
     dispatcher = Dispatcher(loop, Gateway(settings, 1), counts, silent)
     plan = Plan(Links(), CONNECTIONS, 30000.0, settings.cold_ms, GATEWAYS, 1)
     Pool(loop, fleet, Platform(settings, ("read",), ("small", "large")), counts, plan, 250.0)
-    return Watch(loop, ("127.0.0.1", 1), fleet, dispatcher.dispatch, counts, silent)
+    return DiscoveryWatch(loop, ("127.0.0.1", 1), fleet, dispatcher.dispatch, counts, silent)
 
 
 def body(listing: object) -> bytes:
@@ -50,9 +50,9 @@
     return ujson.dumps(listing).encode()
 
 
-def take(watch: Watch, content: bytes) -> None:
+def take(watch: DiscoveryWatch, content: bytes) -> None:
     """Have an answer taken, as the turn of the loop does in which its last bytes came."""
-    failure = watch.take(Reply(200, {}, content))
+    failure = watch.handle_response(HttpResponse(200, {}, content))
     if failure:
         raise RuntimeError(failure)
 
--- a/petrelhall/boxes/fleet.py
+++ b/petrelhall/boxes/fleet.py
@@ -13,7 +13,7 @@
 MOST_EVER = 8192  # ids remembered as once listed
 
 
-class Fleet:
+class ServerRegistry:
     """Where each server is, by id: the module knows servers by id, since addresses may vary and change."""
 
     def __init__(self, areas: tuple[str, ...]) -> None:
@@ -23,15 +23,15 @@
         self.healthy: set[str] = set()
         self.started: dict[str, float | None] = {}  # Unix ms, 0 for long ago, None where the list does not say
         self.entries: dict[str, dict[str, Any]] = {}  # as discovery told them
-        self.label: Callable[[dict[str, Any]], str | None] = lambda entry: ""  # a box's pool; None: in no use
-        self.changed: Callable[[], None] = lambda: None  # called after each change, before the module is told
+        self.pool_of: Callable[[dict[str, Any]], str | None] = lambda entry: ""  # a box's pool; None: in no use
+        self.on_change: Callable[[], None] = lambda: None  # called after each change, before the module is told
         # The operators' word wins over discovery's: a server taken out drains, whatever the list says, and one
         # put back has started anew at that moment, since it was restarted meanwhile and comes back cold.
-        self.bans = Bans("")
-        self.left_out: frozenset[str] = frozenset()  # what several gateways found bad, for a while
-        self.ever: set[str] = set()  # ids that were ever listed here: only those may be taken out
+        self.exclusions = Bans("")
+        self.excluded: frozenset[str] = frozenset()  # what several gateways found bad, for a while
+        self.known_ids: set[str] = set()  # ids that were ever listed here: only those may be taken out
 
-    def take(self, listing: Any, kind: str | None = None) -> api.ServerList:
+    def apply(self, listing: Any, kind: str | None = None) -> api.ServerList:
         """Take in an answer of discovery, all or nothing (ValueError), and give it in the module's terms.
 
         ``kind`` overrides what the answer says of itself: the list handed over at the start is ``cached``.
@@ -43,11 +43,11 @@
         told = {
             entry["id"]
             for entry in listing["servers"]
-            if entry.get("started_ms") is not None or self.bans.back_at(entry["id"])
+            if entry.get("started_ms") is not None or self.exclusions.back_at(entry["id"])
         }
-        if len(self.ever) > MOST_EVER:
-            self.ever = set(self.entries)
-        self.ever.update(server.address for server, _ in read)
+        if len(self.known_ids) > MOST_EVER:
+            self.known_ids = set(self.entries)
+        self.known_ids.update(server.address for server, _ in read)
         if kind != "delta":
             self.addresses, self.healthy, self.started, self.entries = {}, set(), {}, {}
         for (server, address), entry in zip(read, listing["servers"], strict=True):
@@ -63,16 +63,16 @@
             if server.phase == "healthy":
                 self.healthy.add(server.address)
         self.version = version
-        self.changed()
+        self.on_change()
         # A full list holds whoever is there: the module drops those that it does not name by itself, and
         # knows Gone among changes only.
         lines = tuple(server for server, _ in read if kind == "delta" or server.phase != "deregistered")
         return api.ServerList(kind, lines)
 
-    def relabel(self) -> api.ServerList:
+    def reassign_pools(self) -> api.ServerList:
         """Name the pools of all boxes anew, and give the list in the module's terms."""
         entries = list(self.entries.values())
-        return self.take({"version": self.version, "full": False, "servers": entries})
+        return self.apply({"version": self.version, "full": False, "servers": entries})
 
     def line(self, entry: Any) -> tuple[api.Server, Address]:
         """Read one server."""
@@ -82,9 +82,9 @@
         gone = phase == "deregistered"
         address = ("", 0) if gone and not entry.get("addr") else parse_address(str(entry.get("addr")))
         weight = entry.get("weight")
-        pool = self.label(entry)
-        out = (pool is None or self.bans.holds(entry["id"]) or entry["id"] in self.left_out) and not gone
-        since = max(float(entry.get("started_ms") or 0.0), self.bans.back_at(entry["id"]))
+        pool = self.pool_of(entry)
+        out = (pool is None or self.exclusions.holds(entry["id"]) or entry["id"] in self.excluded) and not gone
+        since = max(float(entry.get("started_ms") or 0.0), self.exclusions.back_at(entry["id"]))
         server = api.Server(
             entry["id"],
             self.zone(entry.get("zone")),
--- a/petrelhall/gateway/agreement.py
+++ b/petrelhall/gateway/agreement.py
@@ -42,7 +42,7 @@
 from petrelhall.gateway.platform import ForwardedRequest
 from petrelhall.gateway.requests import Request
 from petrelhall.net.counts import Counts
-from petrelhall.net.files import write_safely
+from petrelhall.net.files import write_durably
 from petrelhall.net.loop import OFFSET_MS, Loop, now_ms
 from petrelhall.operator.file import OperatorError
 from petrelhall.operator.settings import Accord as Settings
@@ -277,7 +277,7 @@
             return True
         data = msgspec.msgpack.encode(Kept(1, self.number, action.memory, action.documents))
         try:
-            write_safely(self.path, zlib.crc32(data).to_bytes(4, "big") + data)
+            write_durably(self.path, zlib.crc32(data).to_bytes(4, "big") + data)
         except OSError as error:
             self.log(f"policy: cannot write {self.path}, no more is said: {os.strerror(error.errno or 0)}")
             return False
--- a/petrelhall/gateway/front.py
+++ b/petrelhall/gateway/front.py
@@ -11,11 +11,19 @@
 
 from petrelhall.gateway.platform import READY
 from petrelhall.gateway.requests import Answer, Request, RequestHandler, Served
-from petrelhall.http.h1 import MOST_INFLOWING, Broken, Flowing, Headers, Inflow, Message, ServerSide
-from petrelhall.http.room import Room
+from petrelhall.http.h1 import (
+    MAX_REQUEST_BODY_BYTES,
+    Headers,
+    HttpError,
+    HttpRequest,
+    HttpServerConnection,
+    StreamingBody,
+    StreamingResponse,
+)
+from petrelhall.http.room import BodyBudget
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, Steps, describe, now_ms
-from petrelhall.net.stream import MOST_UNREAD, NO_DESCRIPTOR, Address, Stream, bound
+from petrelhall.net.stream import MAX_UNREAD_BYTES, RESOURCE_ERRNOS, Address, Stream, bind_socket
 
 BACKLOG = 1024
 AT_ONCE = 64  # connections taken in one turn
@@ -50,18 +58,18 @@
 class Wording(Protocol):
     """The platform's way to read requests and word answers."""
 
-    def parse_request(self, message: Message) -> Request | Broken:
+    def parse_request(self, message: HttpRequest) -> Request | HttpError:
         """Read a request."""
 
-    def answer(self, answer: Answer | Broken) -> tuple[int, Headers, bytes]:
+    def answer(self, answer: Answer | HttpError) -> tuple[int, Headers, bytes]:
         """Word an answer."""
 
 
 class Client:
     """One client's connection."""
 
-    def __init__(self, stream: Stream, room: Room, vet: Callable[[Message], object]) -> None:
-        self.stream, self.http = stream, ServerSide(stream, room, vet)
+    def __init__(self, stream: Stream, room: BodyBudget, vet: Callable[[HttpRequest], object]) -> None:
+        self.stream, self.http = stream, HttpServerConnection(stream, room, vet)
         self.busy = self.answered = self.begun = False  # one request in hand; any answered; the next begun
         self.since = now_ms()  # when it connected, or was last answered
         self.until = self.since + FIRST_REQUEST_TIMEOUT_MS  # when it is over, unless a request is whole by then
@@ -79,7 +87,7 @@
     @property
     def gone(self) -> bool:
         """Tell whether the client has closed."""
-        return self.stream.left()
+        return self.stream.is_peer_closed()
 
 
 class Listener:
@@ -95,7 +103,7 @@
         counts: Counts,
         log: Callable[[str], None],
         most: int,
-        room: Room,
+        room: BodyBudget,
     ) -> None:
         self.room = room  # for bodies and large answers
         self.loop, self.wording, self.request_handler, self.ready = loop, wording, request_handler, ready
@@ -109,7 +117,7 @@
         self.succeeded = False  # a newer process takes the new connections
         self.end_by = float("inf")  # Unix ms by which what is taken must be answered
         self.on_empty: Callable[[], None] = lambda: None
-        self.listener = bound(address)
+        self.listener = bind_socket(address)
         self.listener.listen(BACKLOG)
         self.accepting = self.starved = self.crowded = False
         self.queued_since = self.watched_at = self.ready_at = now_ms()  # known empty; watched; told of (Unix ms)
@@ -133,9 +141,9 @@
 
     def on_ready(self, mask: int) -> None:
         """Take what connections there are."""
-        if max(self.watched_at, self.ready_at) < self.loop.looked_before:  # the look before would have told of it
-            self.queued_since, self.accepted = self.loop.unseen_since, 0
-        self.ready_at = self.loop.looked_at
+        if max(self.watched_at, self.ready_at) < self.loop.previous_poll_at:  # the look before would have told of it
+            self.queued_since, self.accepted = self.loop.earliest_ready_at, 0
+        self.ready_at = self.loop.polled_at
         for _ in range(AT_ONCE):
             if not self.accept():
                 return
@@ -156,7 +164,7 @@
         except OSError as error:
             if self.listener.fileno() < 0:  # closed: nothing can come any more
                 return False
-            if error.errno in NO_DESCRIPTOR:
+            if error.errno in RESOURCE_ERRNOS:
                 self.counts.add("connections", "no_descriptor")
                 self.starved = True
                 self.accept_less()
@@ -168,7 +176,9 @@
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         stream = Stream(self.loop, sock, lambda: None)
-        stream.tell_close = stream.sift = True  # a client that leaves behind a flood has left all the same
+        stream.end_on_peer_close = stream.drop_excess = (
+            True  # a client that leaves behind a flood has left all the same
+        )
         stream.queued_since = self.queued_since
         client = Client(stream, self.room, self.wording.parse_request)
         self.clients.add(client)
@@ -184,7 +194,7 @@
         self.crowded = False
         if len(self.clients) >= self.most:
             free = [client for client in self.clients if not client.busy]
-            free.sort(key=lambda c: (c.answered, c.http.begun, c.since))
+            free.sort(key=lambda c: (c.answered, c.http.request_started, c.since))
             # As many as have come without an end so far: where hundreds wait, eight at a time would let them wait
             # for seconds. Those that are being ended hold their descriptors for a moment more: that many fewer.
             wanted = max(EVICTION_BATCH, min(self.accepted, int(MOST_ROOM * self.most)))
@@ -216,11 +226,11 @@
         except Exception as error:  # one connection's fault is not the program's, and is answered
             self.counts.add("answered", "internal_error")
             self.log(f"connection failed: {describe(error)}")
-            client.http.answer(500, [], b"internal error\n", True)
+            client.http.send_response(500, [], b"internal error\n", True)
             yield from self.linger(client)
         finally:
             client.stream.close()
-            client.http.free()
+            client.http.release_body()
             self.clients.discard(client)
             if self.closing and not self.clients and not self.starved:
                 self.on_empty()
@@ -234,25 +244,25 @@
                 yield from self.part(client)
             return False
         client.busy = True
-        answer: Answer | Broken | None
-        if isinstance(asked, Message) and asked.target.partition(b"?")[0] == READY:
+        answer: Answer | HttpError | None
+        if isinstance(asked, HttpRequest) and asked.target.partition(b"?")[0] == READY:
             status, body = (200, b"ready\n") if self.ready() and not self.leaving else (503, b"not ready\n")
-            keep = client.http.answer(status, [], body, self.leaving)
+            keep = client.http.send_response(status, [], body, self.leaving)
         else:
-            request = self.wording.parse_request(asked) if isinstance(asked, Message) else asked
-            if isinstance(request, Request) and isinstance(asked, Message) and asked.rest is None:
-                request = without_wait(request, now_ms() - client.stream.came_since)
+            request = self.wording.parse_request(asked) if isinstance(asked, HttpRequest) else asked
+            if isinstance(request, Request) and isinstance(asked, HttpRequest) and asked.streaming_body is None:
+                request = without_wait(request, now_ms() - client.stream.earliest_arrival_at)
             if isinstance(request, Request) and request.left_ms > self.end_by - now_ms():
                 request = replace(request, left_ms=max(1.0, self.end_by - now_ms()))
             if isinstance(request, Request) and request.request_id in self.names:
-                request = Broken(400, "a request of that name is in hand")  # which goes on undisturbed
-            if isinstance(request, Broken):
+                request = HttpError(400, "a request of that name is in hand")  # which goes on undisturbed
+            if isinstance(request, HttpError):
                 if not self.counts.get("answered", f"bad_{request.status}"):  # the first of each, for on-call
                     self.log(f"first request answered {request.status}: {request.reason}")
                 self.counts.add("answered", f"bad_{request.status}")
                 answer = request
             else:
-                rest = asked.rest if isinstance(asked, Message) else None
+                rest = asked.streaming_body if isinstance(asked, HttpRequest) else None
                 self.names.add(request.request_id)
                 if rest is not None:
                     self.receive(client, rest)
@@ -261,85 +271,90 @@
                 finally:
                     self.names.discard(request.request_id)
                     if rest is not None:
-                        self.room.flows -= 1
-                        client.stream.keep, client.stream.sift = MOST_UNREAD, True
+                        self.room.active_streams -= 1
+                        client.stream.max_unread, client.stream.drop_excess = MAX_UNREAD_BYTES, True
                 if answer is None:
                     return False
-                if rest is not None and rest.broken is not None:  # its own doing, whatever became of the attempt
-                    self.counts.add("answered", f"bad_{rest.broken.status}")
-                    answer = asked = rest.broken
-            last = self.leaving or isinstance(asked, Broken) or client.http.receiving or client.stream.flooded > 0
-            if isinstance(answer, Served) and isinstance(answer.reply, Flowing):
+                if rest is not None and rest.error is not None:  # its own doing, whatever became of the attempt
+                    self.counts.add("answered", f"bad_{rest.error.status}")
+                    answer = asked = rest.error
+            last = (
+                self.leaving
+                or isinstance(asked, HttpError)
+                or client.http.receiving_body
+                or client.stream.dropped_bytes > 0
+            )
+            if isinstance(answer, Served) and isinstance(answer.reply, StreamingResponse):
                 keep = yield from self.flow(client, answer.reply, last)
             else:
-                keep = client.http.answer(*self.wording.answer(answer), last)
-        client.http.free()
+                keep = client.http.send_response(*self.wording.answer(answer), last)
+        client.http.release_body()
         yield from self.sent(client)
-        keep = keep and not client.stream.flooded
-        if not keep and not (self.crowded and isinstance(asked, Broken) and asked.status == 408):
-            yield from self.linger(client, client.http.receiving)
+        keep = keep and not client.stream.dropped_bytes
+        if not keep and not (self.crowded and isinstance(asked, HttpError) and asked.status == 408):
+            yield from self.linger(client, client.http.receiving_body)
         client.busy, client.answered, client.begun, client.since = False, True, False, now_ms()
         client.until, client.counted = client.since + IDLE_TIMEOUT_MS, client.stream.received
         return keep and not client.gone
 
-    def asked(self, client: Client) -> Steps[Message | Broken | None]:
+    def asked(self, client: Client) -> Steps[HttpRequest | HttpError | None]:
         """Wait for a whole request; None where the connection ends between requests."""
         while True:
-            asked = client.http.request()
+            asked = client.http.read_request()
             if asked is not None or client.gone:
                 return asked
-            begun, now = client.http.begun, now_ms()
+            begun, now = client.http.request_started, now_ms()
             if begun and not client.begun:
                 client.begun = True
                 if client.answered:
                     client.until = now + WHOLE_MS
             if client.overdue() if begun else now >= client.until or self.parting:
                 if begun:
-                    return Broken(408, "request did not come whole")
+                    return HttpError(408, "request did not come whole")
                 # What the kernel already holds is taken: it is answered before the connection ends. A client that
                 # was accepted in this turn may have closed behind it long ago, which counts first.
-                client.stream.look()
+                client.stream.poll()
                 if not client.stream.incoming:
                     return None
                 continue
             yield
 
-    def receive(self, client: Client, rest: Inflow) -> None:
+    def receive(self, client: Client, rest: StreamingBody) -> None:
         """Make ready to pass a body on as it comes: little of it is held, and its client must go on sending."""
         self.counts.add("answered", "bodies_passed_on")
-        self.room.flows += 1
-        client.stream.keep, client.stream.sift = self.room.each, False
-        rest.late = client.overdue
+        self.room.active_streams += 1
+        client.stream.max_unread, client.stream.drop_excess = self.room.bytes_per_stream, False
+        rest.is_overdue = client.overdue
 
-    def flow(self, client: Client, answer: Flowing, last: bool) -> Steps[bool]:
+    def flow(self, client: Client, answer: StreamingResponse, last: bool) -> Steps[bool]:
         """Pass an answer on as it comes, reading the server only as fast as the client reads.
 
         A server that says nothing more for STALL_MS, or a client that reads nothing for as long, ends both: the
         client cannot be told otherwise that the rest will not come.
         """
-        answer.taken = True
-        self.room.flows += 1
+        answer.claimed = True
+        self.room.active_streams += 1
         source, wake = answer.source, self.loop.this_task().wake
-        source.stream.notify, source.stream.keep = wake, self.room.each
+        source.stream.notify, source.stream.max_unread = wake, self.room.bytes_per_stream
         kind = answer.headers.get(b"content-type")
         # Only answers that served are passed on: the status is the server's 200.
-        client.http.begin(answer.status, [(b"Content-Type", kind)] if kind else [], answer.length, last)
-        data, whole, keep = answer.first, False, False
+        client.http.send_head(answer.status, [(b"Content-Type", kind)] if kind else [], answer.length, last)
+        data, whole, keep = answer.first_bytes, False, False
         stall, last_ms = now_ms() + STALL_MS, now_ms() + STREAM_TIMEOUT_MS
         timer = self.loop.at(stall, wake)
         try:
             while not client.gone:
                 if data or whole:
-                    keep = client.http.more(data, whole)
+                    keep = client.http.send_body(data, whole)
                     last_ms += len(data) * STREAM_MS_PER_BYTE
                     data, stall = b"", now_ms() + STALL_MS
                     timer.cancel()
                     timer = self.loop.at(stall, wake)
                     if whole:
                         return keep
-                if len(client.stream.outgoing) < self.room.each:
-                    got = source.flow()
-                    if isinstance(got, Broken):
+                if len(client.stream.outgoing) < self.room.bytes_per_stream:
+                    got = source.read_body()
+                    if isinstance(got, HttpError):
                         break
                     data, whole = got
                     if data or whole:
@@ -351,9 +366,9 @@
             return False
         finally:
             timer.cancel()
-            self.room.flows -= 1
-            source.stream.keep = MOST_UNREAD
-            answer.done(whole)
+            self.room.active_streams -= 1
+            source.stream.max_unread = MAX_UNREAD_BYTES
+            answer.on_done(whole)
 
     def sent(self, client: Client) -> Steps[None]:
         """Wait until an answer has gone out; a client that does not read it may not stay for ever."""
@@ -375,7 +390,12 @@
         pace of one that is wanted: many read the answer only then.
         """
         client.stream.discard()
-        while sending and not client.gone and not client.overdue() and client.come - client.counted < MOST_INFLOWING:
+        while (
+            sending
+            and not client.gone
+            and not client.overdue()
+            and client.come - client.counted < MAX_REQUEST_BODY_BYTES
+        ):
             timer = self.loop.after(SWEEP_INTERVAL_MS, self.loop.this_task().wake)
             yield
             timer.cancel()
@@ -437,7 +457,7 @@
         Whoever has begun a request is not idle: it ends with its answer.
         """
         idle = sorted(
-            (client for client in self.clients if not client.busy and not client.http.begun),
+            (client for client in self.clients if not client.busy and not client.http.request_started),
             key=lambda client: client.since,
         )
         for client in idle[:EVICTION_BATCH]:
--- a/petrelhall/gateway/handover.py
+++ b/petrelhall/gateway/handover.py
@@ -16,9 +16,9 @@
 from typing import Any
 
 from petrelhall.control.handover import handed, letter, mark, marked, succeeded
-from petrelhall.net.files import write_whole
+from petrelhall.net.files import write_atomically
 from petrelhall.net.loop import Loop, now_ms
-from petrelhall.net.stream import Address, taken
+from petrelhall.net.stream import Address, is_address_in_use
 
 MANAGED_POLL_MS = 50.0  # between two polls where operators have a management address, and so can start an upgrade
 DEFAULT_POLL_MS = 250.0  # between two polls elsewhere
@@ -68,7 +68,7 @@
         process on the address. Waits for a process that is about to exit.
         """
         deadline = now_ms() + ADDRESS_WAIT_MS
-        while not os.path.exists(self.ready_path) and taken(address):
+        while not os.path.exists(self.ready_path) and is_address_in_use(address):
             if now_ms() >= deadline:
                 host_port = f"{address[0]}:{address[1]}"
                 raise OSError(
@@ -136,7 +136,7 @@
     def write_file(self, path: str, data: bytes) -> bool:
         """Write a file atomically; return whether that succeeded."""
         try:
-            write_whole(path, data)
+            write_atomically(path, data)
         except OSError as error:
             self.log(f"cannot write handover file {path}: {os.strerror(error.errno or 0)}")
             return False
--- a/petrelhall/gateway/membership.py
+++ b/petrelhall/gateway/membership.py
@@ -8,7 +8,7 @@
 
 import ujson
 
-from petrelhall.boxes.fleet import Fleet
+from petrelhall.boxes.fleet import ServerRegistry
 from petrelhall.decide import interface as api
 from petrelhall.decide.interface import Ending
 from petrelhall.gateway.peers import Peers
@@ -37,7 +37,7 @@
         platform: api.Settings,
         name: str,
         seed: int,
-        fleet: Fleet,
+        fleet: ServerRegistry,
         on_server_list: Callable[[api.ServerList], None],
         is_ready: Callable[[], bool],
         counts: Counts,
@@ -141,8 +141,8 @@
             now, self.fleet.healthy | before, self.core.accusers(now), own_reports, self.core.pace.observers
         )
         if excluded != before:
-            self.fleet.left_out = excluded
+            self.fleet.excluded = excluded
             for server in sorted(excluded ^ before):
                 self.counts.add("members", "boxes_left_out" if server in excluded else "boxes_back")
                 self.log_change({"box": server, "state": "left out" if server in excluded else "back"})
-            self.on_server_list(self.fleet.relabel())
+            self.on_server_list(self.fleet.reassign_pools())
--- a/petrelhall/gateway/mgmt.py
+++ b/petrelhall/gateway/mgmt.py
@@ -15,15 +15,15 @@
 
 import ujson
 
-from petrelhall.boxes.fleet import Fleet
+from petrelhall.boxes.fleet import ServerRegistry
 from petrelhall.control.bans import BansError, decode
 from petrelhall.control.calls import Call, Policy, Wrong, read_call
 from petrelhall.decide import interface as api
-from petrelhall.http.h1 import Broken, ServerSide
+from petrelhall.http.h1 import HttpError, HttpServerConnection
 from petrelhall.net.counts import Counts
-from petrelhall.net.files import write_whole
+from petrelhall.net.files import write_atomically
 from petrelhall.net.loop import Loop, Steps, now_ms
-from petrelhall.net.stream import NO_DESCRIPTOR, Address, Stream, bound
+from petrelhall.net.stream import RESOURCE_ERRNOS, Address, Stream, bind_socket
 
 MAX_MANAGEMENT_CONNECTIONS = 16  # beyond it the connection that has waited longest for its call is closed
 RECEIVE_TIMEOUT_MS = 1500.0  # for a complete call: some callers send nothing or half of one and stay for 4 s
@@ -47,7 +47,7 @@
     __slots__ = ("stream", "http", "deadline_ms", "answered")
 
     def __init__(self, stream: Stream) -> None:
-        self.stream, self.http = stream, ServerSide(stream)
+        self.stream, self.http = stream, HttpServerConnection(stream)
         self.deadline_ms, self.answered = now_ms() + RECEIVE_TIMEOUT_MS, False
 
 
@@ -58,7 +58,7 @@
         self,
         loop: Loop,
         address: Address,
-        fleet: Fleet,
+        fleet: ServerRegistry,
         is_ready: Callable[[], bool],
         on_server_list: Callable[[api.ServerList], None],
         counts: Counts,
@@ -70,12 +70,12 @@
         self.connections: list[ManagementConnection] = []  # oldest first
         self.views: dict[str, Callable[[], Any]] = {}  # read-only views of the enabled subsystems, by name
         self.policy: Callable[[Policy, bytes], tuple[int, dict[str, Any]]] | None = None
-        fleet.bans.gateway = gateway
+        fleet.exclusions.gateway = gateway
         self.path = os.path.join(tempfile.gettempdir(), f"petrelhall-{gateway}-servers-out.json")
         self.file_state: tuple[int, int, int] | None = None  # inode, size and mtime when last read or written
         self.load_exclusions(notify=False)
         loop.after(FILE_POLL_MS, self.poll_file)
-        self.listener = bound(address)
+        self.listener = bind_socket(address)
         self.listener.listen(MAX_MANAGEMENT_CONNECTIONS)
         self.register_listener()
 
@@ -96,7 +96,7 @@
         try:
             sock, _ = self.listener.accept()
         except OSError as error:
-            if error.errno in NO_DESCRIPTOR:  # the connection stays in the backlog; polling it would busy-loop
+            if error.errno in RESOURCE_ERRNOS:  # the connection stays in the backlog; polling it would busy-loop
                 self.loop.unregister(self.listener.fileno())
                 self.loop.after(ACCEPT_RETRY_MS, self.register_listener)
             return  # otherwise the peer has already gone
@@ -120,19 +120,19 @@
     def serve_connection(self, connection: ManagementConnection) -> Steps[None]:
         """Read one call, answer it and close the connection."""
         try:
-            request = connection.http.request()
+            request = connection.http.read_request()
             while request is None and not connection.stream.ended and now_ms() < connection.deadline_ms:
                 yield
-                request = connection.http.request()
+                request = connection.http.read_request()
             if request is None:
-                if connection.stream.ended or not connection.http.begun:
+                if connection.stream.ended or not connection.http.request_started:
                     self.counts.add("control", "silent")
                     return
-                request = Broken(408, "call did not come whole")
-            call = request if isinstance(request, Broken) else read_call(request.method, request.target)
+                request = HttpError(408, "call did not come whole")
+            call = request if isinstance(request, HttpError) else read_call(request.method, request.target)
             result: Any = None
             if isinstance(call, Call) and call.policy is not None and self.policy is not None:
-                assert not isinstance(request, Broken)
+                assert not isinstance(request, HttpError)
                 status, result = self.policy(call.policy, bytes(request.body))
             else:
                 status = self.execute(call)
@@ -143,7 +143,7 @@
                 result = self.views[call.view]()
             if result is not None:
                 content = ujson.dumps(result).encode()
-            connection.http.answer(status, [], content, True)
+            connection.http.send_response(status, [], content, True)
             send_deadline_ms = now_ms() + SEND_TIMEOUT_MS
             self.loop.at(send_deadline_ms, self.loop.this_task().wake)
             while connection.stream.outgoing and not connection.stream.ended and now_ms() < send_deadline_ms:
@@ -158,7 +158,7 @@
             connection.stream.close()
             self.connections.remove(connection)
 
-    def execute(self, call: Call | Wrong | Broken) -> int:
+    def execute(self, call: Call | Wrong | HttpError) -> int:
         """Carry out a call and return its HTTP status: 2xx on success, else 4xx or 5xx."""
         if not isinstance(call, Call):
             return call.status
@@ -168,13 +168,13 @@
             return 404
         if call.view:
             return 200 if call.view in self.views else 404
-        if call.server not in self.fleet.ever and call.server not in self.fleet.bans.marks:
+        if call.server not in self.fleet.known_ids and call.server not in self.fleet.exclusions.marks:
             return 404
         self.load_exclusions()  # the other process of an upgrade may have received a later call
-        if self.fleet.bans.say(call.server, call.out, now_ms()):
+        if self.fleet.exclusions.say(call.server, call.out, now_ms()):
             self.log(f"server {call.server} {'taken offline' if call.out else 'put back online'} by an operator")
             self.save_exclusions()
-            self.on_server_list(self.fleet.relabel())
+            self.on_server_list(self.fleet.reassign_pools())
         return 200
 
     # The file of excluded servers
@@ -194,11 +194,11 @@
             return self.log(f"excluded servers: cannot read {self.path}: {os.strerror(error.errno or 0)}")
         self.file_state = file_state
         try:
-            exclusions = decode(data, self.fleet.bans.gateway)
+            exclusions = decode(data, self.fleet.exclusions.gateway)
         except BansError as error:
             return self.log(f"excluded servers: {self.path} ignored: {error}")
-        if self.fleet.bans.merge(exclusions) and notify:
-            self.on_server_list(self.fleet.relabel())
+        if self.fleet.exclusions.merge(exclusions) and notify:
+            self.on_server_list(self.fleet.reassign_pools())
 
     def poll_file(self) -> None:
         """Check the file for changes at a fixed interval."""
@@ -208,7 +208,7 @@
     def save_exclusions(self) -> None:
         """Write the file atomically, so that a reader never sees part of it."""
         try:
-            write_whole(self.path, self.fleet.bans.encode())
+            write_atomically(self.path, self.fleet.exclusions.encode())
             stat = os.stat(self.path)
             self.file_state = stat.st_ino, stat.st_size, stat.st_mtime_ns
         except OSError as error:  # the exclusion still applies in this process
--- a/petrelhall/gateway/peers.py
+++ b/petrelhall/gateway/peers.py
@@ -9,7 +9,7 @@
 from petrelhall.decide import interface as api
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop
-from petrelhall.net.stream import Address, bound
+from petrelhall.net.stream import Address, bind_socket
 
 MAX_DATAGRAM_BYTES = 256  # the platform's limit
 # The first byte of a datagram selects its handler. Datagrams of the decision module begin with its message version.
@@ -36,7 +36,7 @@
         self.datagram_handlers: dict[int, Callable[[int, bytes], None]] = {}  # by first byte
         # Called with the sender's number for each datagram that has no handler and so goes to the decision module.
         self.on_module_datagram: Callable[[int], None] | None = None
-        self.sock = bound(own, socket.SOCK_DGRAM)
+        self.sock = bind_socket(own, socket.SOCK_DGRAM)
         loop.register(self.sock.fileno(), select.EPOLLIN, self.on_readable)
 
     def stop_receiving(self) -> None:
--- a/petrelhall/gateway/platform.py
+++ b/petrelhall/gateway/platform.py
@@ -8,7 +8,7 @@
 from petrelhall.decide import interface as api
 from petrelhall.decide.interface import Ending
 from petrelhall.gateway.requests import Answer, Failed, Refused, Request, Served, Unsure
-from petrelhall.http.h1 import Broken, Headers, Inflow, Message, Reply
+from petrelhall.http.h1 import Headers, HttpError, HttpRequest, HttpResponse, StreamingBody
 from petrelhall.links.attempt import Verdict
 
 PATH, READY = b"/api", b"/healthz"
@@ -47,7 +47,7 @@
 class ForwardedRequest:
     """A request's message and what of its headers goes on to servers."""
 
-    message: Message
+    message: HttpRequest
     headers: Headers
 
 
@@ -64,11 +64,11 @@
 
     # Clients
 
-    def parse_request(self, message: Message) -> Request | Broken:
+    def parse_request(self, message: HttpRequest) -> Request | HttpError:
         """Read a client's request; one that is not in the platform's form goes no further."""
         path, _, query = message.target.partition(b"?")
         if path != PATH:
-            return Broken(404, "unknown path")
+            return HttpError(404, "unknown path")
         headers = message.headers
         try:
             if message.repeated & ONCE:  # we and a server could each read another of the two
@@ -81,7 +81,7 @@
                 raise Refusal("X-Request-Id missing")
             effect = self.settings.classes[index].effect
             safe = effect is api.Effect.REPEATABLE
-            if message.method != (b"GET" if safe else b"POST") or (safe and (message.body or message.rest)):
+            if message.method != (b"GET" if safe else b"POST") or (safe and (message.body or message.streaming_body)):
                 raise Refusal("the class asks for another method, or for no body")
             keyed = effect is api.Effect.KEYED
             if keyed and not headers.get(b"idempotency-key"):
@@ -102,7 +102,7 @@
                 first,
             )
         except Refusal as error:
-            return Broken(400, str(error))
+            return HttpError(400, str(error))
 
     def metering(self, value: bytes) -> tuple[float, int, int]:
         """Read the units and the customer's set, size and first; the same few values come again and again."""
@@ -126,7 +126,7 @@
             raise Refusal("X-Metering out of range")
         return units, spread, first
 
-    def answer(self, answer: Answer | Broken) -> tuple[int, Headers, bytes]:
+    def answer(self, answer: Answer | HttpError) -> tuple[int, Headers, bytes]:
         """Word an answer to a client."""
         if isinstance(answer, Served):
             kind = answer.reply.headers.get(b"content-type")
@@ -145,13 +145,18 @@
         """Word an attempt: all that the client sent unchanged, and how long we wait."""
         asked = message.message
         headers = [*message.headers, (b"X-Deadline", b"%dm" % max(1, int(wait_ms)))]
-        return asked.method, asked.target, headers, asked.body if asked.rest is None else asked.rest.first
-
-    def rest(self, message: ForwardedRequest) -> Inflow | None:
+        return (
+            asked.method,
+            asked.target,
+            headers,
+            asked.body if asked.streaming_body is None else asked.streaming_body.first_bytes,
+        )
+
+    def rest(self, message: ForwardedRequest) -> StreamingBody | None:
         """Give the rest of a body that is passed on as it comes, if there is one."""
-        return message.message.rest if isinstance(message, ForwardedRequest) else None
+        return message.message.streaming_body if isinstance(message, ForwardedRequest) else None
 
-    def verdict(self, reply: Reply) -> Verdict:
+    def verdict(self, reply: HttpResponse) -> Verdict:
         """Read a server's answer; only its own word that the request did not run is proof of that."""
         report = self.parse_load_report(reply.headers.get(b"x-load", b""))
         if reply.status == 200:
@@ -196,11 +201,11 @@
     return max(1.0, left - EARLY_MS)
 
 
-def passed_on(message: Message) -> Headers:
+def passed_on(message: HttpRequest) -> Headers:
     """Give the headers that go on to a server; a body kept whole goes on with its length."""
     headers: Headers = [(name, message.headers[name]) for name in PASSED_ON if name in message.headers]
-    if message.rest is not None:
-        length = message.rest.length
+    if message.streaming_body is not None:
+        length = message.streaming_body.length
         headers.append((b"Transfer-Encoding", b"chunked") if length is None else (b"Content-Length", b"%d" % length))
     elif message.body or b"content-length" in message.headers:
         headers.append((b"Content-Length", b"%d" % len(message.body)))
--- a/petrelhall/gateway/program.py
+++ b/petrelhall/gateway/program.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from petrelhall.boxes.discovery import Watch
-from petrelhall.boxes.fleet import Fleet
+from petrelhall.boxes.discovery import DiscoveryWatch
+from petrelhall.boxes.fleet import ServerRegistry
 from petrelhall.decide import interface as api
 from petrelhall.decide import snapshot
 from petrelhall.decide.policy import Gateway
@@ -28,7 +28,7 @@
 from petrelhall.gateway.peers import SHIFT_KIND, Peers
 from petrelhall.gateway.platform import Platform
 from petrelhall.gateway.requests import RequestHandler
-from petrelhall.http.room import Room
+from petrelhall.http.room import BodyBudget
 from petrelhall.links.plan import Plan
 from petrelhall.links.pool import Pool
 from petrelhall.net.counts import Counts
@@ -58,7 +58,7 @@
     def __init__(self, config: Config, log: Log, operator_settings: File, operator_path: str = "") -> None:
         self.config, self.log = config, log
         self.operator_settings, self.operator_path = operator_settings, operator_path
-        self.loop, self.counts, self.fleet = Loop(log), Counts(), Fleet(config.zone_names)
+        self.loop, self.counts, self.fleet = Loop(log), Counts(), ServerRegistry(config.zone_names)
         self.stopping = self.serving = False
         self.counter: CounterClient | None = None
         self.install_signal_handlers()  # before anyone can connect: an unhandled signal would kill the process
@@ -79,7 +79,7 @@
             settings.gateways,
             config.seed,
         )
-        body_budget = Room(config.memory_mb)
+        body_budget = BodyBudget(config.memory_mb)
         self.pool = Pool(
             self.loop, self.fleet, platform, self.counts, connection_plan, config.connect_timeout_ms, body_budget
         )
@@ -126,7 +126,7 @@
                 log.write,
                 config.name,
             )
-            self.dispatcher.dispatch(self.fleet.relabel())  # apply exclusions made before this process started
+            self.dispatcher.dispatch(self.fleet.reassign_pools())  # apply exclusions made before this process started
             if self.membership is not None:
                 self.mgmt.views["members"] = self.membership.view
             if self.sharing is not None:
@@ -335,10 +335,10 @@
         """Start from the last known server list, if the configuration has one, then follow discovery."""
         try:
             if self.config.known_servers is not None:
-                self.dispatcher.dispatch(self.fleet.take(self.config.known_servers, "cached"))
+                self.dispatcher.dispatch(self.fleet.apply(self.config.known_servers, "cached"))
         except (ValueError, TypeError) as error:
             raise ConfigError(f"config.known: {error}") from error
-        self.discovery_watch = Watch(
+        self.discovery_watch = DiscoveryWatch(
             self.loop, self.config.discovery, self.fleet, self.dispatcher.dispatch, self.counts, self.log
         )
 
@@ -376,7 +376,7 @@
             self.configure_shifter()
             self.log.write(f"operators' file taken over: {', '.join(changes)}")
         if new_config.discovery != self.discovery_watch.address:
-            self.discovery_watch = self.discovery_watch.moved(new_config.discovery)
+            self.discovery_watch = self.discovery_watch.follow_address(new_config.discovery)
         if self.counter is not None and new_config.counter is not None and new_config.counter != self.counter.address:
             self.counter.retire()
             self.counter = self.open_counter(new_config.counter)
--- a/petrelhall/gateway/shifting.py
+++ b/petrelhall/gateway/shifting.py
@@ -12,7 +12,7 @@
 import ujson
 import xxhash
 
-from petrelhall.boxes.fleet import Fleet
+from petrelhall.boxes.fleet import ServerRegistry
 from petrelhall.decide import interface as api
 from petrelhall.decide.interface import Ending
 from petrelhall.gateway.peers import SHIFT_KIND
@@ -40,7 +40,7 @@
     def __init__(
         self,
         loop: Loop,
-        fleet: Fleet,
+        fleet: ServerRegistry,
         connection_plan: Plan,
         on_event: Callable[[api.Event], None],
         counts: Counts,
@@ -69,7 +69,7 @@
             return
         previous, self.settings = self.mover, settings
         self.pool_rules = Pools(settings) if settings is not None else None
-        self.fleet.label = self.assign_pool if self.pool_rules is not None else (lambda entry: "")
+        self.fleet.pool_of = self.assign_pool if self.pool_rules is not None else (lambda entry: "")
         self.reported_servers.clear()
         self.pool_by_server.clear()
         move = settings.move if settings is not None else None
@@ -84,7 +84,7 @@
         else:
             self.mover = Mover(move, max(1, len(self.classes)))
         if self.fleet.entries:
-            self.on_event(self.fleet.relabel())
+            self.on_event(self.fleet.reassign_pools())
         if self.timer is None and self.mover is not None:
             self.tick()
 
--- a/petrelhall/hollow/fleet.py
+++ b/petrelhall/hollow/fleet.py
@@ -14,7 +14,7 @@
 from petrelhall.hollow.gateway import DESCRIPTORS, HOST, HollowGateway, own_port
 from petrelhall.hollow.usage import check_descriptors, dropped_by_kernel
 from petrelhall.net.loop import Loop, now_ms
-from petrelhall.net.stream import bound
+from petrelhall.net.stream import bind_socket
 from petrelhall.operator.settings import Accord as ConsensusSettings
 from petrelhall.operator.settings import Limits, Shared
 from petrelhall.operator.settings import Membership as MembershipSettings
@@ -44,7 +44,7 @@
         self.gateways = gateways
         self.senders = {gateway.peers.address: gateway for gateway in gateways}
         with own_port() as port:
-            self.sock = bound((HOST, port), socket.SOCK_DGRAM)
+            self.sock = bind_socket((HOST, port), socket.SOCK_DGRAM)
         self.carried: Counter[str] = Counter()
         loop.register(self.sock.fileno(), select.EPOLLIN, self.on_ready)
 
--- a/petrelhall/hollow/gateway.py
+++ b/petrelhall/hollow/gateway.py
@@ -8,7 +8,7 @@
 import tempfile
 from collections.abc import Callable, Iterator
 
-from petrelhall.boxes.fleet import Fleet
+from petrelhall.boxes.fleet import ServerRegistry
 from petrelhall.decide import interface as api
 from petrelhall.gateway.agreement import Agreement
 from petrelhall.gateway.membership import Membership
@@ -87,7 +87,7 @@
                 settings,
                 self.name,
                 seed,
-                Fleet(()),
+                ServerRegistry(()),
                 lambda listing: None,
                 lambda: not self.ended,
                 self.counts,
--- a/petrelhall/hollow/network.py
+++ b/petrelhall/hollow/network.py
@@ -15,7 +15,7 @@
 
 from petrelhall.net import frames
 from petrelhall.net.loop import Loop
-from petrelhall.net.stream import NEW_SOCKET, Address, Stream
+from petrelhall.net.stream import SOCKET_FLAGS, Address, Stream
 
 OPERATOR_HOST = "127.0.0.1"  # in no region: never cut off
 
@@ -124,7 +124,7 @@
     connection = getattr(notify, "__self__", None)
     if isinstance(connection, NetworkConnection):
         connection.peer_host = address[0]
-    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | NEW_SOCKET)
+    sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | SOCKET_FLAGS)
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.bind((network.host, 0))
--- a/petrelhall/links/attempt.py
+++ b/petrelhall/links/attempt.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from petrelhall.decide.interface import Ending
-from petrelhall.http.h1 import Headers, Inflow, Reply
+from petrelhall.http.h1 import Headers, HttpResponse, StreamingBody
 
 
 class Reach(IntEnum):
@@ -47,8 +47,8 @@
     def outgoing(self, message: Any, wait_ms: float) -> tuple[bytes, bytes, Headers, bytes]:
         """Give method, target, headers and body."""
 
-    def rest(self, message: Any) -> Inflow | None:
+    def rest(self, message: Any) -> StreamingBody | None:
         """Give the rest of a body that is passed on as it comes, if the message has one."""
 
-    def verdict(self, reply: Reply) -> Verdict:
+    def verdict(self, reply: HttpResponse) -> Verdict:
         """Read an answer."""
--- a/petrelhall/links/pool.py
+++ b/petrelhall/links/pool.py
@@ -9,14 +9,14 @@
 from typing import Any, Protocol
 
 from petrelhall.decide.interface import Ending
-from petrelhall.http.h1 import Broken, ClientSide, Flowing, Inflow, Reply
-from petrelhall.http.room import Room
+from petrelhall.http.h1 import HttpClientConnection, HttpError, HttpResponse, StreamingBody, StreamingResponse
+from petrelhall.http.room import BodyBudget
 from petrelhall.links.attempt import Reach, Result, Wording
 from petrelhall.links.limits import NEVER
 from petrelhall.links.plan import End, Link, No, Plan, State, Wait
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, Steps, Timer, describe, now_ms
-from petrelhall.net.stream import NO_DESCRIPTOR, Address, connect
+from petrelhall.net.stream import RESOURCE_ERRNOS, Address, connect
 
 TICK_MS = 100.0
 STALL_MS = 4000.0  # in which a box must read some of a body that waits for it
@@ -27,7 +27,7 @@
 class Listing(Protocol):
     """The boxes that there are."""
 
-    changed: Callable[[], None]
+    on_change: Callable[[], None]
 
     @property
     def addresses(self) -> Mapping[str, Address]:
@@ -47,7 +47,7 @@
 
     __slots__ = ("link", "http")
 
-    def __init__(self, link: Link, http: ClientSide) -> None:
+    def __init__(self, link: Link, http: HttpClientConnection) -> None:
         self.link, self.http = link, http
         link.carrier = self
 
@@ -63,13 +63,13 @@
         counts: Counts,
         plan: Plan,
         connect_ms: float,
-        room: Room | None = None,
+        room: BodyBudget | None = None,
     ) -> None:
-        self.room = room or Room(0.0)  # for bodies that are passed on
+        self.room = room or BodyBudget(0.0)  # for bodies that are passed on
         self.loop, self.fleet, self.wording, self.counts, self.plan = loop, fleet, wording, counts, plan
         self.connect_ms = connect_ms
         self.waiting: dict[str, dict[object, Callable[[], object]]] = {}  # for a connection, by box
-        fleet.changed = self.follow
+        fleet.on_change = self.follow
         self.follow()
         loop.after(TICK_MS, self.tick)
 
@@ -97,7 +97,7 @@
         if now_ms() >= until:
             return Result(Ending.MOOT, Reach.UNWRITTEN, "no time left")
         rest = self.wording.rest(message)
-        if rest is not None and rest.spent:  # whether it may go again is no question any more: it cannot
+        if rest is not None and rest.consumed:  # whether it may go again is no question any more: it cannot
             return Result(Ending.MOOT, Reach.UNWRITTEN, "its body was passed on already")
         connection: Connection | Result | None = None
         link = self.plan.take(now_ms(), server, free)
@@ -122,7 +122,7 @@
                 # It is as good as before, but for the time that it lay idle until now, which is soon forgotten.
                 keep, cause = link.idle_ms < self.plan.settings.wait_ms, "unused"
                 return hindrance
-            connection.http.ask(*self.wording.outgoing(message, until - now_ms()), more=rest is not None)
+            connection.http.send_request(*self.wording.outgoing(message, until - now_ms()), more=rest is not None)
             asked_at = 0.0
             if rest is not None:
                 allowed = until - now_ms()  # counts from the body's last byte
@@ -136,17 +136,17 @@
             result = yield from self.answered(connection, until, stopped)
             if asked_at:
                 result = replace(result, asked_at=asked_at)
-            if isinstance(result.reply, Flowing):
+            if isinstance(result.reply, StreamingResponse):
                 if result.ending is not Ending.OK:  # not an answer to pass on: taken for an error, as before
                     return Result(result.ending, result.reach, "answer too large", None, result.report, result.used)
                 flowing = result.reply
-                flowing.done = lambda whole: self.flowed(connection, whole)
+                flowing.on_done = lambda whole: self.flowed(connection, whole)
                 handed = True
                 # Taken in this same step by the front, or never (its client left): then it is closed.
-                self.loop.after(0.0, lambda: flowing.taken or flowing.done(False))
+                self.loop.after(0.0, lambda: flowing.claimed or flowing.on_done(False))
                 return result
             if result.reach is Reach.ANSWERED:
-                keep, cause = connection.http.again(), "told"
+                keep, cause = connection.http.start_next_cycle(), "told"
             elif result.ending in (Ending.CANCELLED, Ending.TIMEOUT):
                 cause = "given_up"
             return result
@@ -179,14 +179,14 @@
             return Result(Ending.MOOT, Reach.UNWRITTEN, "too late to be sent again")
         return None
 
-    def pour(self, connection: Connection, rest: Inflow, stopped: Callable[[], bool]) -> Steps[Result | None]:
+    def pour(self, connection: Connection, rest: StreamingBody, stopped: Callable[[], bool]) -> Steps[Result | None]:
         """Pass a body on as it comes, reading the client only as fast as the box reads.
 
         Gives None once it is all written, or the box has answered before; else how the attempt ended. What broke
         off before its last byte never ran: that tells nothing against a box whose client stopped.
         """
         stream, http = connection.http.stream, connection.http
-        rest.spent, rest.first = True, b""
+        rest.consumed, rest.first_bytes = True, b""
         wake = self.loop.this_task().wake
         stall = now_ms() + STALL_MS
         waiting = len(stream.outgoing)
@@ -202,12 +202,12 @@
                 if len(stream.outgoing) < waiting:
                     stall = now_ms() + STALL_MS
                 waiting = len(stream.outgoing)
-                if waiting < self.room.each:
-                    came = rest.flow()
-                    if isinstance(came, Broken):
+                if waiting < self.room.bytes_per_stream:
+                    came = rest.read()
+                    if isinstance(came, HttpError):
                         return Result(Ending.MOOT, Reach.UNWRITTEN, came.reason)
                     if came[0] or came[1]:
-                        http.ask_more(*came)
+                        http.send_body(*came)
                         waiting, stall = len(stream.outgoing), now_ms() + STALL_MS
                         if came[1]:
                             return None
@@ -228,7 +228,7 @@
         """
         if whole:
             self.plan.answered(now_ms(), connection.link)
-        self.release(connection, whole and connection.http.again(), "told" if whole else "broken")
+        self.release(connection, whole and connection.http.start_next_cycle(), "told" if whole else "broken")
 
     def usable(self, link: Link) -> Connection | Result | None:
         """Give the connection of a link that was taken, begun if it is new; None where it proves closed."""
@@ -237,7 +237,7 @@
             return self.begin(link, self.loop.this_task().wake)
         # The box may have closed it since epoll was last asked: what is written to a connection
         # closed by the other side would end as a reset, which may have run.
-        if connection.http.stream.alive():
+        if connection.http.stream.is_open_and_quiet():
             return connection
         self.plan.found_closed(now_ms(), link)
         connection.http.stream.close()
@@ -293,10 +293,10 @@
         address: Any = link.box.address
         stream = connect(self.loop, address, notify)
         if isinstance(stream, OSError):
-            end = End.OURS if stream.errno in NO_DESCRIPTOR else End.REFUSED
+            end = End.OURS if stream.errno in RESOURCE_ERRNOS else End.REFUSED
             return self.failed(link, end, str(stream))
         self.counts.add("connections", "to_servers")
-        return Connection(link, ClientSide(stream))
+        return Connection(link, HttpClientConnection(stream))
 
     def failed(self, link: Link, end: End, reason: str) -> Result:
         """Tell the plan of a connection that did not come up, and word it for the module."""
@@ -331,14 +331,14 @@
         """Wait for the answer; it counts only when it is whole."""
         http, stream, link = connection.http, connection.http.stream, connection.link
         while True:
-            reply = http.reply()
+            reply = http.read_response()
             reach = Reach.UNWRITTEN if stream.outgoing else Reach.WRITTEN
-            if isinstance(reply, Flowing):  # the rest is passed on by whoever takes the answer
-                verdict = self.wording.verdict(Reply(reply.status, reply.headers, b""))
+            if isinstance(reply, StreamingResponse):  # the rest is passed on by whoever takes the answer
+                verdict = self.wording.verdict(HttpResponse(reply.status, reply.headers, b""))
                 return Result(
                     verdict.ending, Reach.ANSWERED, f"status {reply.status}", reply, verdict.report, verdict.used
                 )
-            if isinstance(reply, Reply):
+            if isinstance(reply, HttpResponse):
                 self.plan.answered(now_ms(), link)
                 if b"keep-alive" in reply.headers:
                     told = KEEP_ALIVE.search(reply.headers[b"keep-alive"])
@@ -348,7 +348,7 @@
                 return Result(
                     verdict.ending, Reach.ANSWERED, f"status {reply.status}", reply, verdict.report, verdict.used
                 )
-            if isinstance(reply, Broken) and reach and not stream.ended:
+            if isinstance(reply, HttpError) and reach and not stream.ended:
                 # A spoilt answer comes from a box that lives: an error of one request. Told as a reset it
                 # would count as the box's death, and the module would leave it alone and treat it as cold.
                 self.counts.add("servers", "spoilt_answers")
@@ -357,7 +357,7 @@
                         self.loop.log(f"an answer of box {link.box.id} was over the bytes kept: taken for an error")
                     self.counts.add("servers", "too_large")
                 return Result(Ending.ERROR, reach, reply.reason)
-            if isinstance(reply, Broken) or stream.ended:
+            if isinstance(reply, HttpError) or stream.ended:
                 # A connection that breaks before the last byte is written proves that nothing ran. Only one
                 # that never came up tells of its box: this one may have been closed as idle.
                 if not http.head:
--- a/petrelhall/net/files.py
+++ b/petrelhall/net/files.py
@@ -5,7 +5,7 @@
 import os
 
 
-def write_whole(path: str, data: bytes) -> None:
+def write_atomically(path: str, data: bytes) -> None:
     """Write a file beside its place, then rename it there: a reader finds the old or the new, never half (OSError)."""
     part = f"{path}.{os.getpid()}"
     with open(part, "wb") as file:
@@ -13,7 +13,7 @@
     os.replace(part, path)
 
 
-def write_safely(path: str, data: bytes) -> None:
+def write_durably(path: str, data: bytes) -> None:
     """Write a file whole, and have it on the disk before this returns (OSError)."""
     part = f"{path}.{os.getpid()}"
     with open(part, "wb") as file:
--- a/petrelhall/net/frames.py
+++ b/petrelhall/net/frames.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 
 from petrelhall.net.loop import Loop
-from petrelhall.net.stream import Address, Stream, bound
+from petrelhall.net.stream import Address, Stream, bind_socket
 from petrelhall.net.stream import connect as connect_stream
 
 HEADER = struct.Struct(">I")
-MOST_FRAME_BYTES = 4 << 20
-MOST_UNSENT_BYTES = 16 << 20  # past that the other side has stopped reading
+MAX_FRAME_BYTES = 4 << 20
+MAX_UNSENT_BYTES = 16 << 20  # past that the other side has stopped reading
 BACKLOG = 1024
 
 
@@ -38,7 +38,7 @@
         if self.closed or self.stream is None or self.stream.ended:
             return
         self.stream.write(HEADER.pack(len(content)) + content)
-        if len(self.stream.outgoing) > MOST_UNSENT_BYTES:
+        if len(self.stream.outgoing) > MAX_UNSENT_BYTES:
             self.stream.end(errno.ENOBUFS)
             self.loop.after(0.0, self.on_change)
 
@@ -62,7 +62,7 @@
         start = 0
         while len(self.buffer) - start >= HEADER.size and not self.closed:
             (size,) = HEADER.unpack_from(self.buffer, start)
-            if size > MOST_FRAME_BYTES:
+            if size > MAX_FRAME_BYTES:
                 stream.end(errno.EPROTO)
                 break
             if len(self.buffer) - start < HEADER.size + size:
@@ -111,7 +111,7 @@
         self.loop, self.on_frame, self.on_close = loop, on_frame, on_close
         self.connections: dict[int, FrameConnection] = {}
         self.last = 0
-        self.sock = bound(address)
+        self.sock = bind_socket(address)
         self.sock.listen(BACKLOG)
         loop.register(self.sock.fileno(), select.EPOLLIN, self.on_ready)
 
--- a/petrelhall/net/loop.py
+++ b/petrelhall/net/loop.py
@@ -19,7 +19,7 @@
 Steps = Generator[None, None, T]  # a piece of a task that ends with a value
 
 LONGEST_S = 60.0
-WAITED_MS = 1.0  # a look at the sockets that took as long has waited: nothing was ready when it began
+BLOCKED_POLL_MS = 1.0  # a look at the sockets that took as long has waited: nothing was ready when it began
 OFFSET_MS = time.time() * 1000.0 - time.monotonic() * 1000.0
 
 
@@ -67,9 +67,9 @@
         self.ready: deque[Task] = deque()
         self.current: Task | None = None
         self.running = False
-        self.looked_at = now_ms()  # when sockets were last asked what has come
-        self.looked_before = self.looked_at  # when they were asked the time before
-        self.unseen_since = self.looked_at  # what the last look found ready had not come before this time
+        self.polled_at = now_ms()  # when sockets were last asked what has come
+        self.previous_poll_at = self.polled_at  # when they were asked the time before
+        self.earliest_ready_at = self.polled_at  # what the last look found ready had not come before this time
 
     # Readiness. A handler may close its own descriptor only: a later event of the same batch could else be
     # taken for one of a new socket that was given the closed one's number. Tasks and timers may close any.
@@ -136,10 +136,10 @@
         """Wait for whatever comes first; sockets before timers: what has come in time counts as in time."""
         began = now_ms()
         events = self.epoll.poll(self.patience())
-        self.looked_before, self.looked_at = self.looked_at, now_ms()
+        self.previous_poll_at, self.polled_at = self.polled_at, now_ms()
         # A look that had to wait found nothing ready at first; else it may have come at any time of the last turn.
-        waited = self.looked_at - began >= WAITED_MS
-        self.unseen_since = began if waited else self.looked_before
+        waited = self.polled_at - began >= BLOCKED_POLL_MS
+        self.earliest_ready_at = began if waited else self.previous_poll_at
         for fd, mask in events:
             handler = self.handlers.get(fd)
             if handler is not None:
--- a/petrelhall/net/stream.py
+++ b/petrelhall/net/stream.py
@@ -11,15 +11,15 @@
 from petrelhall.net.loop import Loop, now_ms
 
 CHUNK = 65536
-MOST_UNREAD = 98304  # bytes kept for a reader that is busy, unless it says otherwise; the kernel holds the rest
+MAX_UNREAD_BYTES = 98304  # bytes kept for a reader that is busy, unless it says otherwise; the kernel holds the rest
 MOST_FLOOD = 8 << 20  # bytes dropped behind a request in hand after which its sender has ended the connection
 GONE = select.EPOLLHUP | select.EPOLLERR
 LATE_MS = 20.0  # after which what epoll told in this turn is too old to begin an attempt on
 SINK = bytearray(1 << 20)  # where what nobody wants would go: the kernel drops it and writes nothing here
 IN = select.EPOLLIN | select.EPOLLRDHUP
 
-NO_DESCRIPTOR = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-NEW_SOCKET = socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC
+RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+SOCKET_FLAGS = socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC
 
 Address = tuple[str, int]
 
@@ -40,13 +40,13 @@
         "mask",
         "unwanted",
         "received",
-        "keep",
-        "tell_close",
-        "sift",
-        "flooded",
+        "max_unread",
+        "end_on_peer_close",
+        "drop_excess",
+        "dropped_bytes",
         "registered_at",
         "queued_since",
-        "came_since",
+        "earliest_arrival_at",
     )
 
     def __init__(self, loop: Loop, sock: socket.socket, notify: Callable[[], object], connecting: bool = False) -> None:
@@ -54,13 +54,15 @@
         self.connecting, self.ended, self.error = connecting, False, 0
         self.incoming, self.outgoing, self.unwanted = bytearray(), bytearray(), False
         self.received = 0  # bytes taken in, all told
-        self.keep = MOST_UNREAD
-        self.tell_close = False  # whether its close ends it at once, whatever lies unread before it
-        self.sift = False  # whether what comes beyond what is kept is dropped: behind it, no close could be heard
-        self.flooded = 0  # bytes dropped so
+        self.max_unread = MAX_UNREAD_BYTES
+        self.end_on_peer_close = False  # whether its close ends it at once, whatever lies unread before it
+        self.drop_excess = (
+            False  # whether what comes beyond what is kept is dropped: behind it, no close could be heard
+        )
+        self.dropped_bytes = 0  # bytes dropped so
         self.registered_at = now_ms()
         self.queued_since = self.registered_at  # before this time it had not come to the listener (Unix ms)
-        self.came_since = self.registered_at  # before this time the bytes last taken in had not come (Unix ms)
+        self.earliest_arrival_at = self.registered_at  # before this time the bytes last taken in had not come (Unix ms)
         self.mask = select.EPOLLOUT if connecting else IN
         loop.register(self.fd, self.mask, self.on_ready)
 
@@ -69,7 +71,7 @@
         self.handle_ready(mask)
         self.notify()
 
-    def look(self) -> None:
+    def poll(self) -> None:
         """Ask the kernel now, and take in what has come: the only way to read outside of ``on_ready``.
 
         A stream that was registered in this turn has not been asked about yet. Read without asking, the bytes of a
@@ -99,9 +101,9 @@
         else:
             if mask & select.EPOLLOUT:
                 self.flush()
-            if mask & select.EPOLLRDHUP and self.tell_close:
+            if mask & select.EPOLLRDHUP and self.end_on_peer_close:
                 self.end(0)  # what it said before, nobody waits for
-            elif mask & GONE and len(self.incoming) > self.keep:
+            elif mask & GONE and len(self.incoming) > self.max_unread:
                 # Told whether it is watched for or not: left so, the loop would do nothing else until it is read.
                 self.end(self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) or errno.ECONNRESET)
             elif mask & ~select.EPOLLOUT:
@@ -109,18 +111,18 @@
 
     def receive(self) -> None:
         """Read what has come, once; the kernel was asked before whether the peer has closed (``handle_ready``)."""
-        full = len(self.incoming) > self.keep
-        if self.ended or self.connecting or (full and not self.sift):
+        full = len(self.incoming) > self.max_unread
+        if self.ended or self.connecting or (full and not self.drop_excess):
             return self.watch()
         try:
             if self.unwanted or full:
                 dropped = self.sock.recv_into(SINK, 0, socket.MSG_TRUNC)
                 self.received += dropped
-                self.flooded += dropped * full
-                if not dropped or self.flooded > MOST_FLOOD:
+                self.dropped_bytes += dropped * full
+                if not dropped or self.dropped_bytes > MOST_FLOOD:
                     self.end(0)
                 return
-            data = self.sock.recv(min(CHUNK, self.keep))
+            data = self.sock.recv(min(CHUNK, self.max_unread))
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
@@ -130,9 +132,9 @@
         self.received += len(data)
         self.incoming += data
         # What came with a connection or before it was registered has waited for as long as the connection has.
-        new = self.registered_at >= self.loop.looked_before
-        self.came_since = self.queued_since if new else self.loop.unseen_since
-        if len(self.incoming) > self.keep:
+        new = self.registered_at >= self.loop.previous_poll_at
+        self.earliest_arrival_at = self.queued_since if new else self.loop.earliest_ready_at
+        if len(self.incoming) > self.max_unread:
             self.watch()
 
     def take(self) -> bytes:
@@ -170,8 +172,8 @@
         """Watch for what is wanted, and nothing else."""
         if self.ended:
             return
-        paused = len(self.incoming) > self.keep and not self.sift
-        mask = select.EPOLLRDHUP * self.tell_close if paused else IN
+        paused = len(self.incoming) > self.max_unread and not self.drop_excess
+        mask = select.EPOLLRDHUP * self.end_on_peer_close if paused else IN
         mask |= select.EPOLLOUT if self.outgoing or self.connecting else 0
         if mask != self.mask:
             self.mask = mask
@@ -182,7 +184,7 @@
         self.ended, self.error = True, error
         self.loop.unregister(self.fd)
 
-    def alive(self) -> bool:
+    def is_open_and_quiet(self) -> bool:
         """Look at the socket itself whether the other side has closed or sent something: epoll may lag."""
         if self.ended or self.incoming:
             return False
@@ -194,12 +196,12 @@
             return False
         return False
 
-    def left(self) -> bool:
+    def is_peer_closed(self) -> bool:
         """Tell whether the other side has closed, as the kernel knows it now, whatever lies unread before the close.
 
         The socket itself is asked only where a turn of the loop has gone on for long since all sockets were.
         """
-        if not self.ended and now_ms() - self.loop.looked_at > LATE_MS:
+        if not self.ended and now_ms() - self.loop.polled_at > LATE_MS:
             if self.ready_now(select.EPOLLRDHUP):
                 self.end(0)
         return self.ended
@@ -229,7 +231,7 @@
 def connect(loop: Loop, address: Address, notify: Callable[[], object]) -> Stream | OSError:
     """Begin to connect; the error, where it fails at once, is a value."""
     try:
-        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | NEW_SOCKET)
+        sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | SOCKET_FLAGS)
     except OSError as error:  # no descriptors left
         return error
     try:
@@ -244,13 +246,13 @@
         return error
 
 
-def bound(address: Address, kind: int = socket.SOCK_STREAM) -> socket.socket:
+def bind_socket(address: Address, kind: int = socket.SOCK_STREAM) -> socket.socket:
     """Give a socket bound to an address that another process of this gateway may hold as well (OSError).
 
     SO_REUSEPORT: during an upgrade the new process listens where the old one still does, and the kernel
     spreads new connections and datagrams over both; without it the new process cannot start at all.
     """
-    sock = socket.socket(socket.AF_INET, kind | NEW_SOCKET)
+    sock = socket.socket(socket.AF_INET, kind | SOCKET_FLAGS)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
@@ -261,9 +263,9 @@
     return sock
 
 
-def taken(address: Address) -> bool:
+def is_address_in_use(address: Address) -> bool:
     """Tell whether another process listens at an address: one that SO_REUSEPORT would let us join unawares."""
-    with socket.socket(socket.AF_INET, socket.SOCK_STREAM | NEW_SOCKET) as sock:
+    with socket.socket(socket.AF_INET, socket.SOCK_STREAM | SOCKET_FLAGS) as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # connections of one that has ended are no matter
         try:
             sock.bind(address)
--- a/petrelhall/replica/program.py
+++ b/petrelhall/replica/program.py
@@ -12,7 +12,7 @@
 from petrelhall.net.counts import Counts
 from petrelhall.net.log import Log
 from petrelhall.net.loop import Loop
-from petrelhall.net.stream import taken
+from petrelhall.net.stream import is_address_in_use
 from petrelhall.replica.distributor import DistributorProcess
 from petrelhall.replica.replica import ReplicaProcess
 from petrelhall.replica.settings import ControlFile, ControlFileError, read
@@ -24,7 +24,7 @@
 
 def start(loop: Loop, file: ControlFile, log: Log) -> ReplicaProcess | DistributorProcess:
     """Start what the file says (OSError, StorageError)."""
-    if taken(file.listen_address):
+    if is_address_in_use(file.listen_address):
         raise OSError(errno.EADDRINUSE, os.strerror(errno.EADDRINUSE))
     counts, seed = Counts(), int.from_bytes(os.urandom(4), "big")
     if file.role == "replica":
--- a/petrelhall/replica/replica.py
+++ b/petrelhall/replica/replica.py
@@ -29,7 +29,7 @@
 )
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, now_ms
-from petrelhall.net.stream import bound
+from petrelhall.net.stream import bind_socket
 from petrelhall.replica.process import TICK_MS, MessageListener, new_incarnation
 from petrelhall.replica.settings import ControlFile
 from petrelhall.replica.storage import Storage, StorageError
@@ -64,7 +64,7 @@
         others = [address for number, address in enumerate(self.replicas) if number != file.number]
         self.upstream = Upstream(loop, others, self.handle, log)
         self.listener = MessageListener(loop, file.listen_address, self.on_message, self.on_close, self.view, counts)
-        self.datagrams = bound(file.listen_address, socket.SOCK_DGRAM)
+        self.datagrams = bind_socket(file.listen_address, socket.SOCK_DGRAM)
         loop.register(self.datagrams.fileno(), select.EPOLLIN, self.on_datagrams)
         loop.after(TICK_MS, self.tick)
 
--- a/petrelhall/replica/storage.py
+++ b/petrelhall/replica/storage.py
@@ -15,7 +15,7 @@
 from petrelhall.configuration.document import Assembly, Document
 from petrelhall.configuration.errors import ConfigurationError
 from petrelhall.configuration.versions import EMPTY, Entry, VersionName
-from petrelhall.net.files import write_safely, write_whole
+from petrelhall.net.files import write_atomically, write_durably
 
 FORM = 1
 MOST_LOG_BYTES = 4 << 20  # after which the whole is written anew
@@ -73,7 +73,7 @@
         """Write the votes; they are on the disk when this returns (StorageError)."""
         content = msgspec.msgpack.encode(StoredVotes(FORM, self.replica, memory, documents))
         try:
-            write_safely(self.votes_path, checked(content))
+            write_durably(self.votes_path, checked(content))
         except OSError as error:
             raise StorageError(f"{self.votes_path}: cannot write: {error.strerror}") from error
 
@@ -140,8 +140,8 @@
     def save_whole(self, document: Document) -> None:
         """Write the whole, then begin a new log (OSError)."""
         entries = tuple(Entry(key, value) for key, value in document.entries.items())
-        write_whole(self.whole_path, checked(msgspec.msgpack.encode(StoredWhole(FORM, document.name, entries))))
-        write_whole(self.log_path, b"")
+        write_atomically(self.whole_path, checked(msgspec.msgpack.encode(StoredWhole(FORM, document.name, entries))))
+        write_atomically(self.log_path, b"")
         self.logged = 0
 
     def append(self, deltas: tuple[Delta, ...]) -> None:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -12,7 +12,7 @@
 from petrelhall.decide import interface as api
 from petrelhall.decide.interface import Ending
 from petrelhall.gateway.requests import Request, RequestHandler
-from petrelhall.http.room import KEEP_EACH, LEAST_EACH, MOST_EACH, Room
+from petrelhall.http.room import MAX_BUFFERED_BODY_BYTES, MAX_STREAM_BYTES, MIN_STREAM_BYTES, BodyBudget
 from petrelhall.links.attempt import Reach, Result
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, Steps, now_ms
@@ -36,21 +36,21 @@
     """Who gets how much."""
 
     def test_a_body_is_kept_while_there_is_room_and_gives_it_back(self) -> None:
-        room = Room(60.0)
+        room = BodyBudget(60.0)
         held = []
-        while room.keep(KEEP_EACH, 0):
-            held.append(KEEP_EACH)
+        while room.reserve(MAX_BUFFERED_BODY_BYTES, 0):
+            held.append(MAX_BUFFERED_BODY_BYTES)
         self.assertEqual(len(held), 3)  # 0.3 of 30 MB, three copies each
-        self.assertFalse(Room(500.0).keep(1, KEEP_EACH))
-        room.give_back(KEEP_EACH)
-        self.assertTrue(room.keep(KEEP_EACH, 0))
+        self.assertFalse(BodyBudget(500.0).reserve(1, MAX_BUFFERED_BODY_BYTES))
+        room.release(MAX_BUFFERED_BODY_BYTES)
+        self.assertTrue(room.reserve(MAX_BUFFERED_BODY_BYTES, 0))
 
     def test_the_more_flow_at_once_the_less_each_holds(self) -> None:
-        room = Room(40.0)
-        self.assertEqual(room.each, MOST_EACH)
-        room.flows = 100
-        self.assertLessEqual(LEAST_EACH, room.each)
-        self.assertLessEqual(2 * 100 * room.each, 4 << 20)
+        room = BodyBudget(40.0)
+        self.assertEqual(room.bytes_per_stream, MAX_STREAM_BYTES)
+        room.active_streams = 100
+        self.assertLessEqual(MIN_STREAM_BYTES, room.bytes_per_stream)
+        self.assertLessEqual(2 * 100 * room.bytes_per_stream, 4 << 20)
 
 
 class Streams(unittest.TestCase):
@@ -63,10 +63,10 @@
             sock = listener.accept()[0]
         sock.setblocking(False)
         stream = Stream(loop, sock, lambda: None)
-        stream.keep = 1000
+        stream.max_unread = 1000
         peer.sendall(b"x" * 50000)
         until = time.monotonic() + PATIENCE_S
-        while len(stream.incoming) <= stream.keep and time.monotonic() < until:
+        while len(stream.incoming) <= stream.max_unread and time.monotonic() < until:
             loop.turn()
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         peer.close()
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -10,7 +10,7 @@
 import unittest
 import unittest.mock
 
-from petrelhall.boxes.fleet import Fleet
+from petrelhall.boxes.fleet import ServerRegistry
 from petrelhall.control.bans import Bans, BansError, decode
 from petrelhall.control.calls import Call, Wrong, read_call
 from tests.peers import PATIENCE_S, Story, ask, entry, listen, read_message, reply
@@ -60,18 +60,18 @@
                 decode(data, "n0")
 
     def test_a_server_taken_out_drains_whatever_discovery_says_and_comes_back_cold(self) -> None:
-        fleet = Fleet(("a",))
+        fleet = ServerRegistry(("a",))
         listing = {"version": 1, "full": True, "servers": [entry("s0", "127.0.0.1:9"), entry("s1", "127.0.0.1:8")]}
-        fleet.take(listing)
-        fleet.bans.say("s0", True, 1000.0)
-        phases = {server.address: server.phase for server in fleet.take(listing).servers}
+        fleet.apply(listing)
+        fleet.exclusions.say("s0", True, 1000.0)
+        phases = {server.address: server.phase for server in fleet.apply(listing).servers}
         self.assertEqual(phases, {"s0": "cordoned", "s1": "healthy"})
         self.assertNotIn("s0", fleet.healthy)
-        fleet.bans.say("s0", False, 5000.0)
-        back = {server.address: server for server in fleet.take(listing).servers}
+        fleet.exclusions.say("s0", False, 5000.0)
+        back = {server.address: server for server in fleet.apply(listing).servers}
         self.assertEqual((back["s0"].phase, back["s0"].since_ms, back["s1"].since_ms), ("healthy", 5000.0, 0.0))
         self.assertEqual(fleet.started["s0"], 5000.0)
-        self.assertEqual(fleet.ever, {"s0", "s1"})
+        self.assertEqual(fleet.known_ids, {"s0", "s1"})
 
 
 def call(where: tuple[str, int], method: str, path: str) -> int:
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from petrelhall.net.frames import HEADER, MOST_FRAME_BYTES, MOST_UNSENT_BYTES, FrameListener, connect
+from petrelhall.net.frames import HEADER, MAX_FRAME_BYTES, MAX_UNSENT_BYTES, FrameListener, connect
 from petrelhall.net.loop import Loop
 
 MOST_S = 10.0
@@ -96,7 +96,7 @@
 
 def test_a_frame_that_is_too_large_ends_its_connection(ends: Ends) -> None:
     with ends.raw() as sock:
-        sock.sendall(framed(b"fine") + HEADER.pack(MOST_FRAME_BYTES + 1))
+        sock.sendall(framed(b"fine") + HEADER.pack(MAX_FRAME_BYTES + 1))
         ends.until(lambda: ends.closed == [1])
     assert ends.frames == [(1, b"fine")]
 
@@ -104,7 +104,7 @@
 def test_who_does_not_read_is_let_go(ends: Ends) -> None:
     with ends.raw() as sock:
         piece = bytes(1 << 20)
-        for _ in range(2 * (MOST_UNSENT_BYTES >> 20)):
+        for _ in range(2 * (MAX_UNSENT_BYTES >> 20)):
             ends.listener.send(1, piece)
         ends.until(lambda: ends.closed == [1])
         assert sock.fileno() >= 0
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -16,7 +16,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from petrelhall.boxes.fleet import Fleet
+from petrelhall.boxes.fleet import ServerRegistry
 from petrelhall.decide import interface as api
 from petrelhall.decide.interface import Ending
 from petrelhall.decide.settings import SettingsError, read_settings
@@ -25,7 +25,7 @@
 from petrelhall.gateway.peers import Peers
 from petrelhall.gateway.platform import ForwardedRequest, Platform
 from petrelhall.gateway.requests import Refused, Request, RequestHandler
-from petrelhall.http.h1 import Message
+from petrelhall.http.h1 import HttpRequest
 from petrelhall.links.attempt import Reach
 from petrelhall.links.plan import Plan
 from petrelhall.links.pool import Pool
@@ -36,7 +36,7 @@
 from petrelhall.operator.settings import Links
 from tests.peers import PATIENCE_S, PROFILE, Story, address, ask, entry, listen, read_message, reply
 
-ASKED = ForwardedRequest(Message(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
+ASKED = ForwardedRequest(HttpRequest(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
 
 
 class Serving(Story):
@@ -601,8 +601,8 @@
             socket.create_server(("127.0.0.1", 0), backlog=0) as server,
             socket.create_connection(server.getsockname()),
         ):  # its queue is full: connecting takes long
-            fleet = Fleet(("a",))
-            fleet.take({"version": 1, "full": True, "servers": [entry("s0", address(server))]})
+            fleet = ServerRegistry(("a",))
+            fleet.apply({"version": 1, "full": True, "servers": [entry("s0", address(server))]})
             platform = Platform(read_settings(PROFILE), ("view", "change"), ("plan",))
             pool = Pool(self.loop, fleet, platform, self.counts, Plan(Links(), 10, 30000.0), 5000.0)
             results: list[Any] = []
@@ -613,7 +613,7 @@
             self.loop.spawn(attempt())
             self.turn_until(lambda: pool.open)
             drains = entry("s0", address(server), "Terminating")
-            fleet.take({"version": 2, "full": False, "servers": [drains]})
+            fleet.apply({"version": 2, "full": False, "servers": [drains]})
             server.accept()[0].close()  # room in the queue: the connection comes up
             self.turn_until(lambda: results)
             self.assertEqual(results[0].reach, Reach.UNWRITTEN)
@@ -621,7 +621,7 @@
             self.assertEqual(pool.open, 0)
 
     def test_a_module_that_breaks_down_leaves_no_request_without_an_answer(self) -> None:
-        class Broken:
+        class HttpError:
             actions: list[api.Action] = []
 
             def handle(self, now: float, event: api.Event) -> list[api.Action]:
@@ -630,7 +630,7 @@
         class Caller:
             gone = False
 
-        dispatcher = Dispatcher(self.loop, Broken(), self.counts, self.notes.append)
+        dispatcher = Dispatcher(self.loop, HttpError(), self.counts, self.notes.append)
         request_handler = RequestHandler(self.loop, dispatcher.dispatch, None, self.counts, 700.0)  # type: ignore[arg-type]
         dispatcher.handle_request_action = request_handler.deliver
         answers: list[Any] = []
@@ -647,8 +647,8 @@
 
     def test_a_message_that_cannot_be_worded_ends_its_attempt_as_never_run(self) -> None:
         with listen() as server:
-            fleet = Fleet(("a",))
-            fleet.take({"version": 1, "full": True, "servers": [entry("s0", address(server), "Ready")]})
+            fleet = ServerRegistry(("a",))
+            fleet.apply({"version": 1, "full": True, "servers": [entry("s0", address(server), "Ready")]})
             platform = Platform(read_settings(PROFILE), ("view", "change"), ("plan",))
             pool = Pool(self.loop, fleet, platform, self.counts, Plan(Links(), 10, 30000.0), 250.0)
             results: list[Any] = []
@@ -672,7 +672,7 @@
             b"x-metering": b"units=1,spread=3,first=7",
         }
         request = Platform(settings, ("view", "change"), ("plan",)).parse_request(
-            Message(b"GET", b"/api?client=00000000b4d65521", headers, b"")
+            HttpRequest(b"GET", b"/api?client=00000000b4d65521", headers, b"")
         )
         assert isinstance(request, Request)
         told: list[Any] = []
@@ -688,14 +688,14 @@
             self.assertEqual(platform.parse_load_report(b"LOAD inflight=" + figure), {}, figure)
 
     def test_a_state_not_known_here_and_gone_get_nothing_new(self) -> None:
-        fleet = Fleet(("a", "b"))
+        fleet = ServerRegistry(("a", "b"))
         states = ("Ready", "Ready", "Odd")
         lines = [entry(f"s{n}", f"127.0.0.1:{n + 1}", state) for n, state in enumerate(states)]
         lines[1]["zone"] = "b"
-        told = fleet.take({"version": 1, "full": True, "servers": lines})
+        told = fleet.apply({"version": 1, "full": True, "servers": lines})
         read = [(server.phase, server.zone) for server in told.servers]
         self.assertEqual(read, [("healthy", 0), ("healthy", 1), ("cordoned", 0)])
-        told = fleet.take({"version": 2, "full": False, "servers": [{"id": "s0", "state": "Gone"}]})
+        told = fleet.apply({"version": 2, "full": False, "servers": [{"id": "s0", "state": "Gone"}]})
         self.assertEqual([(s.address, s.phase) for s in told.servers], [("s0", "deregistered")])
         self.assertEqual(fleet.healthy, {"s1"})
 
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -16,8 +16,8 @@
 from typing import Any
 
 from petrelhall.boxes import discovery
-from petrelhall.boxes.discovery import Watch, blind_ms
-from petrelhall.boxes.fleet import Fleet
+from petrelhall.boxes.discovery import DiscoveryWatch, max_staleness_ms
+from petrelhall.boxes.fleet import ServerRegistry
 from petrelhall.decide.interface import Ending, Started
 from petrelhall.decide.policy import Gateway
 from petrelhall.decide.settings import read_settings
@@ -27,8 +27,8 @@
 from petrelhall.gateway.mgmt import MAX_MANAGEMENT_CONNECTIONS, Management
 from petrelhall.gateway.platform import ForwardedRequest, Platform
 from petrelhall.gateway.requests import RequestHandler
-from petrelhall.http.h1 import Message
-from petrelhall.http.room import Room
+from petrelhall.http.h1 import HttpRequest
+from petrelhall.http.room import BodyBudget
 from petrelhall.links import reuse
 from petrelhall.links.attempt import Reach
 from petrelhall.links.plan import Plan
@@ -40,7 +40,7 @@
 from petrelhall.operator.settings import Links
 from tests.peers import PATIENCE_S, PROFILE, Story, address, ask, entry, listen, read_message, reply
 
-ASKED = ForwardedRequest(Message(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
+ASKED = ForwardedRequest(HttpRequest(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
 HEALTH = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
@@ -57,10 +57,10 @@
         self.stack = contextlib.ExitStack()
         self.addCleanup(self.stack.close)
         self.notes: list[str] = []
-        self.loop, self.counts, self.fleet = Loop(self.notes.append), Counts(), Fleet(("a",))
+        self.loop, self.counts, self.fleet = Loop(self.notes.append), Counts(), ServerRegistry(("a",))
         self.server = self.stack.enter_context(listen())
         self.server.setblocking(False)
-        self.fleet.take({"version": 1, "full": True, "servers": [entry("s0", address(self.server))]})
+        self.fleet.apply({"version": 1, "full": True, "servers": [entry("s0", address(self.server))]})
         self.settings = read_settings(PROFILE)
         self.platform = Platform(self.settings, ("view", "change"), ("plan",))
         self.plan = Plan(Links(), 10, 30000.0)
@@ -74,7 +74,7 @@
         self.request_handler = RequestHandler(self.loop, dispatcher.dispatch, self.pool, self.counts, 700.0)
         dispatcher.handle_request_action = self.request_handler.deliver
         dispatcher.dispatch(Started())
-        dispatcher.dispatch(self.fleet.relabel())
+        dispatcher.dispatch(self.fleet.reassign_pools())
         made = Listener(
             self.loop,
             ("127.0.0.1", 0),
@@ -84,7 +84,7 @@
             self.counts,
             self.notes.append,
             most,
-            Room(64.0),
+            BodyBudget(64.0),
         )
         self.stack.callback(made.listener.close)
         self.stack.callback(lambda: [client.stream.close() for client in made.clients])
@@ -159,7 +159,7 @@
             socket.create_connection(server.getsockname()),
         ):
             self.server = server
-            self.fleet.take({"version": 2, "full": True, "servers": [entry("s0", address(server))]})
+            self.fleet.apply({"version": 2, "full": True, "servers": [entry("s0", address(server))]})
             yield
             server.settimeout(PATIENCE_S)
             server.accept()[0].close()
@@ -193,7 +193,7 @@
             socket.create_server(("127.0.0.1", 0), backlog=0) as server,
             socket.create_connection(server.getsockname()),
         ):
-            self.fleet.take({"version": 2, "full": True, "servers": [entry("s0", address(server))]})
+            self.fleet.apply({"version": 2, "full": True, "servers": [entry("s0", address(server))]})
             self.attempt(until_ms=60.0)
             self.turn_until(lambda: self.results)
         self.assertEqual((self.results[0].ending, self.results[0].reach), (Ending.MOOT, Reach.UNWRITTEN))
@@ -243,7 +243,7 @@
         def crossing(*values: Any) -> Any:
             if not crossed:
                 crossed.append(client.close())
-                self.loop.looked_at -= 1000.0  # this turn has gone on for a second since the sockets were asked
+                self.loop.polled_at -= 1000.0  # this turn has gone on for a second since the sockets were asked
             return original(*values)
 
         self.patch(self.pool, hindrance=crossing)
@@ -323,14 +323,14 @@
         return float(head.partition(b"x-deadline: ")[2].partition(b"m")[0])
 
     def test_what_a_request_waited_for_in_a_long_turn_is_not_told_as_left(self) -> None:
-        self.patch(net_loop, WAITED_MS=1000.0)  # a look that a slow machine is late with has not waited
+        self.patch(net_loop, BLOCKED_POLL_MS=1000.0)  # a look that a slow machine is late with has not waited
         made = self.gateway()
         client = self.client(HEALTH)
         self.read(client, b"ready\n")
         client.sendall(ask())
         (held,) = made.clients
         held.stream.registered_at -= 3000.0  # long known, and
-        self.loop.looked_at -= 1500.0  # it came at any time of a turn of 1.5 s
+        self.loop.polled_at -= 1500.0  # it came at any time of a turn of 1.5 s
         self.loop.turn()
         self.assertLessEqual(self.told_left_ms(), 4500.0)
 
@@ -340,14 +340,14 @@
         stream = Stream(loop, self.stack.enter_context(near), lambda: None)
         self.stack.enter_context(far)
         stream.registered_at -= 3000.0
-        loop.looked_at -= 1500.0  # the turn before was long, but the look at its end finds nothing ready
+        loop.polled_at -= 1500.0  # the turn before was long, but the look at its end finds nothing ready
         sender = threading.Timer(0.2, far.sendall, (b"x",))
         self.stack.callback(sender.join)
         began = now_ms()
         sender.start()
         loop.turn()
         self.assertEqual(stream.incoming, b"x")
-        self.assertGreaterEqual(stream.came_since, began)
+        self.assertGreaterEqual(stream.earliest_arrival_at, began)
 
     def test_what_a_request_waited_for_in_the_listener_is_not_told_as_left(self) -> None:
         made = self.gateway(most=1)
@@ -538,15 +538,20 @@
     """Discovery that falls silent, and many that ask it."""
 
     def test_a_change_is_in_use_within_the_stated_time_of_a_line_gone_dead(self) -> None:
-        self.assertLessEqual(blind_ms(), 6000.0)
-        wait_over = discovery.LATE_MS + discovery.PAUSE_MS + discovery.CONNECT_MS + discovery.LATE_MS
+        self.assertLessEqual(max_staleness_ms(), 6000.0)
+        wait_over = (
+            discovery.RESPONSE_GRACE_MS
+            + discovery.RETRY_DELAY_MS
+            + discovery.CONNECT_TIMEOUT_MS
+            + discovery.RESPONSE_GRACE_MS
+        )
         self.assertLessEqual(wait_over, 4000.0)  # 6 s from the silence on, or 2 s after a wait's end, the later
         agent = self.server  # the same listener plays discovery
         told: list[Any] = []
         none_left: list[OSError] = []
         connect = discovery.connect
         self.patch(discovery, connect=lambda *values: none_left.pop() if none_left else connect(*values))
-        watch = Watch(self.loop, agent.getsockname(), self.fleet, told.append, self.counts, self.notes.append)
+        watch = DiscoveryWatch(self.loop, agent.getsockname(), self.fleet, told.append, self.counts, self.notes.append)
         self.addCleanup(watch.task.steps.close)
         line = self.accept()
         self.read(line, b"\r\n\r\n")
@@ -565,16 +570,16 @@
         listing = {"version": 3, "full": False, "servers": [entry("s9", "127.0.0.1:9")]}
         fresh.sendall(reply(json.dumps(listing, indent=2).encode()))
         self.turn_until(lambda: "s9" in self.fleet.addresses)
-        self.assertLess(now_ms() - begin, blind_ms())
+        self.assertLess(now_ms() - begin, max_staleness_ms())
 
     def test_gateways_that_lost_discovery_at_one_moment_do_not_ask_in_step(self) -> None:
         watches = [
-            Watch(self.loop, ("127.0.0.1", 9), self.fleet, lambda news: None, self.counts, self.notes.append)
+            DiscoveryWatch(self.loop, ("127.0.0.1", 9), self.fleet, lambda news: None, self.counts, self.notes.append)
             for _ in range(50)
         ]
         for watch in watches:
             self.addCleanup(watch.task.steps.close)
-        waits = [watch.some(discovery.WAIT_MS) for watch in watches]
+        waits = [watch.jittered(discovery.LONG_POLL_MS) for watch in watches]
         self.assertGreater(max(waits) - min(waits), 100.0)
         self.assertTrue(all(700.0 <= wait <= 1000.0 for wait in waits), waits)
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -10,11 +10,11 @@
 import unittest.mock
 from typing import Any
 
-from petrelhall.boxes.fleet import Fleet
+from petrelhall.boxes.fleet import ServerRegistry
 from petrelhall.decide.interface import Ending
 from petrelhall.decide.settings import read_settings
 from petrelhall.gateway.platform import ForwardedRequest, Platform
-from petrelhall.http.h1 import Message
+from petrelhall.http.h1 import HttpRequest
 from petrelhall.links.attempt import Reach
 from petrelhall.links.plan import Plan
 from petrelhall.links.pool import Pool
@@ -24,7 +24,7 @@
 from petrelhall.operator.settings import Links
 from tests.peers import PATIENCE_S, PROFILE, Story, address, ask, entry, listen, read_message, reply
 
-ASKED = ForwardedRequest(Message(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
+ASKED = ForwardedRequest(HttpRequest(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
 
 
 class Sockets(unittest.TestCase):
@@ -36,13 +36,13 @@
         self.box = listen()
         self.addCleanup(self.box.close)
         self.box.setblocking(False)
-        self.fleet = Fleet(("a",))
+        self.fleet = ServerRegistry(("a",))
         self.results: list[Any] = []
         self.held: list[socket.socket] = []
         self.addCleanup(lambda: [sock.close() for sock in self.held])
 
     def pool(self, **links: Any) -> Pool:
-        self.fleet.take({"version": 1, "full": True, "servers": [entry("s0", address(self.box))]})
+        self.fleet.apply({"version": 1, "full": True, "servers": [entry("s0", address(self.box))]})
         platform = Platform(read_settings(PROFILE), ("view", "change"), ("plan",))
         self.plan = Plan(Links(**links), 10, 30000.0)
         return Pool(self.loop, self.fleet, platform, self.counts, self.plan, 500.0)
@@ -166,7 +166,7 @@
             self.attempt(pool, 8000.0)
             self.turn_until(lambda: pool.open)
             drains = entry("s0", address(server), "Terminating")
-            self.fleet.take({"version": 2, "full": False, "servers": [drains]})
+            self.fleet.apply({"version": 2, "full": False, "servers": [drains]})
             server.settimeout(PATIENCE_S)
             server.accept()[0].close()  # room in the queue: the connection comes up
             self.turn_until(lambda: self.results)
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -13,7 +13,7 @@
 
 from click.testing import CliRunner
 
-from petrelhall.boxes.fleet import Fleet
+from petrelhall.boxes.fleet import ServerRegistry
 from petrelhall.cli.main import main
 from petrelhall.decide import interface as api
 from petrelhall.decide.interface import Ending
@@ -432,10 +432,10 @@
         self.assertLess(names.count("Send"), 5)
 
     def test_a_list_that_is_labelled_anew_keeps_its_boxes(self) -> None:
-        fleet = Fleet(("a",))
-        fleet.take({"version": 3, "full": True, "servers": [entry("s0", "127.0.0.1:1"), entry("s1", "127.0.0.1:2")]})
-        fleet.label = lambda box: "p" if box["id"] == "s0" else None
-        news = fleet.relabel()
+        fleet = ServerRegistry(("a",))
+        fleet.apply({"version": 3, "full": True, "servers": [entry("s0", "127.0.0.1:1"), entry("s1", "127.0.0.1:2")]})
+        fleet.pool_of = lambda box: "p" if box["id"] == "s0" else None
+        news = fleet.reassign_pools()
         told = [(server.pool, server.phase) for server in news.servers]
         self.assertEqual(told, [("p", "healthy"), ("", "cordoned")])
         self.assertEqual((fleet.healthy, fleet.version), ({"s0"}, 3))
@@ -448,8 +448,8 @@
         self.told: list[Any] = []
         self.notes: list[str] = []
         self.sent: list[bytes] = []
-        self.loop, self.counts, self.fleet = Loop(self.notes.append), Counts(), Fleet(("a",))
-        self.fleet.take(
+        self.loop, self.counts, self.fleet = Loop(self.notes.append), Counts(), ServerRegistry(("a",))
+        self.fleet.apply(
             {
                 "version": 1,
                 "full": True,
