--- a/petrelhall/boxes/__init__.py
+++ b/petrelhall/boxes/__init__.py
@@ -1,1 +1,1 @@
-"""Which boxes there are, and who says so."""
+"""The list of servers and the service discovery that provides it."""
--- a/petrelhall/boxes/fleet.py
+++ b/petrelhall/boxes/fleet.py
@@ -1,4 +1,4 @@
-"""The servers as discovery lists them, and how discovery's lines become the module's."""
+"""The registry of servers listed by service discovery, and its translation for the decision module."""
 
 from __future__ import annotations
 
@@ -10,47 +10,47 @@
 from petrelhall.net.stream import Address, parse_address
 
 PHASES = {"Ready": "healthy", "Terminating": "cordoned", "Gone": "deregistered"}
-MOST_EVER = 8192  # ids remembered as once listed
+MAX_KNOWN_IDS = 8192  # ids remembered as once listed
 
 
 class ServerRegistry:
-    """Where each server is, by id: the module knows servers by id, since addresses may vary and change."""
+    """Servers and their addresses by id; the module knows servers by id only, since addresses may vary and change."""
 
-    def __init__(self, areas: tuple[str, ...]) -> None:
-        self.areas = {name: index for index, name in enumerate(areas)}
+    def __init__(self, zone_names: tuple[str, ...]) -> None:
+        self.zone_indices = {name: index for index, name in enumerate(zone_names)}
         self.version = 0
         self.addresses: dict[str, Address] = {}
         self.healthy: set[str] = set()
-        self.started: dict[str, float | None] = {}  # Unix ms, 0 for long ago, None where the list does not say
-        self.entries: dict[str, dict[str, Any]] = {}  # as discovery told them
-        self.pool_of: Callable[[dict[str, Any]], str | None] = lambda entry: ""  # a box's pool; None: in no use
-        self.on_change: Callable[[], None] = lambda: None  # called after each change, before the module is told
-        # The operators' word wins over discovery's: a server taken out drains, whatever the list says, and one
-        # put back has started anew at that moment, since it was restarted meanwhile and comes back cold.
+        self.started: dict[str, float | None] = {}  # Unix ms; 0: long ago; None: not in the list
+        self.entries: dict[str, dict[str, Any]] = {}  # as received from discovery
+        self.pool_of: Callable[[dict[str, Any]], str | None] = lambda entry: ""  # a server's pool; None: not used
+        self.on_change: Callable[[], None] = lambda: None  # called after each change, before the module is notified
+        # Exclusions by operators take precedence over discovery: an excluded server drains, whatever the list says. One
+        # put back counts as started at that moment, since it was restarted meanwhile and comes back cold.
         self.exclusions = Bans("")
-        self.excluded: frozenset[str] = frozenset()  # what several gateways found bad, for a while
-        self.known_ids: set[str] = set()  # ids that were ever listed here: only those may be taken out
+        self.excluded: frozenset[str] = frozenset()  # temporarily excluded: several gateways found them faulty
+        self.known_ids: set[str] = set()  # ids ever listed here: only those may be excluded
 
     def apply(self, listing: Any, kind: str | None = None) -> api.ServerList:
-        """Take in an answer of discovery, all or nothing (ValueError), and give it in the module's terms.
+        """Apply a response of discovery, all or nothing (ValueError), and return it in the terms of the module.
 
-        ``kind`` overrides what the answer says of itself: the list handed over at the start is ``cached``.
+        ``kind`` overrides the kind that the response states: the list handed over at the start is ``cached``.
         """
         if not isinstance(listing, dict) or not isinstance(listing.get("servers"), list):
-            raise ValueError("not a list of servers")
+            raise ValueError("response contains no list of servers")
         version, kind = int(listing.get("version") or 0), kind or ("full" if listing.get("full") else "delta")
-        read = [self.line(entry) for entry in listing["servers"]]
-        told = {
+        parsed = [self.parse_entry(entry) for entry in listing["servers"]]
+        with_start_time = {
             entry["id"]
             for entry in listing["servers"]
             if entry.get("started_ms") is not None or self.exclusions.back_at(entry["id"])
         }
-        if len(self.known_ids) > MOST_EVER:
+        if len(self.known_ids) > MAX_KNOWN_IDS:
             self.known_ids = set(self.entries)
-        self.known_ids.update(server.address for server, _ in read)
+        self.known_ids.update(server.address for server, _ in parsed)
         if kind != "delta":
             self.addresses, self.healthy, self.started, self.entries = {}, set(), {}, {}
-        for (server, address), entry in zip(read, listing["servers"], strict=True):
+        for (server, address), entry in zip(parsed, listing["servers"], strict=True):
             self.healthy.discard(server.address)
             if server.phase == "deregistered":
                 self.addresses.pop(server.address, None)
@@ -59,43 +59,45 @@
                 continue
             self.entries[server.address] = entry
             self.addresses[server.address] = address
-            self.started[server.address] = server.since_ms if server.address in told else None
+            self.started[server.address] = server.since_ms if server.address in with_start_time else None
             if server.phase == "healthy":
                 self.healthy.add(server.address)
         self.version = version
         self.on_change()
-        # A full list holds whoever is there: the module drops those that it does not name by itself, and
-        # knows Gone among changes only.
-        lines = tuple(server for server, _ in read if kind == "delta" or server.phase != "deregistered")
-        return api.ServerList(kind, lines)
+        # A full list contains only present servers: the module drops those missing from it by itself, and knows
+        # deregistered servers only in deltas.
+        servers = tuple(server for server, _ in parsed if kind == "delta" or server.phase != "deregistered")
+        return api.ServerList(kind, servers)
 
     def reassign_pools(self) -> api.ServerList:
-        """Name the pools of all boxes anew, and give the list in the module's terms."""
+        """Assign the pools of all servers again, and return the list in the terms of the module."""
         entries = list(self.entries.values())
         return self.apply({"version": self.version, "full": False, "servers": entries})
 
-    def line(self, entry: Any) -> tuple[api.Server, Address]:
-        """Read one server."""
+    def parse_entry(self, entry: Any) -> tuple[api.Server, Address]:
+        """Parse the entry of one server (ValueError)."""
         if not isinstance(entry, dict) or not isinstance(entry.get("id"), str) or not entry["id"]:
-            raise ValueError("a server without an id")
-        phase = PHASES.get(str(entry.get("state")), "cordoned")  # of a state not known here: nothing new
-        gone = phase == "deregistered"
-        address = ("", 0) if gone and not entry.get("addr") else parse_address(str(entry.get("addr")))
+            raise ValueError("server entry without an id")
+        phase = PHASES.get(str(entry.get("state")), "cordoned")  # unknown state: no new requests
+        deregistered = phase == "deregistered"
+        address = ("", 0) if deregistered and not entry.get("addr") else parse_address(str(entry.get("addr")))
         weight = entry.get("weight")
         pool = self.pool_of(entry)
-        out = (pool is None or self.exclusions.holds(entry["id"]) or entry["id"] in self.excluded) and not gone
-        since = max(float(entry.get("started_ms") or 0.0), self.exclusions.back_at(entry["id"]))
+        drained = (
+            pool is None or self.exclusions.holds(entry["id"]) or entry["id"] in self.excluded
+        ) and not deregistered
+        started_ms = max(float(entry.get("started_ms") or 0.0), self.exclusions.back_at(entry["id"]))
         server = api.Server(
             entry["id"],
-            self.zone(entry.get("zone")),
+            self.zone_index(entry.get("zone")),
             int(entry.get("cell") or 0),
-            "cordoned" if out else phase,
+            "cordoned" if drained else phase,
             1.0 if weight is None else float(weight),
-            since,
+            started_ms,
             pool or "",
         )
         return server, address
 
-    def zone(self, name: Any) -> int:
-        """Give a zone's number; one that the settings do not know is nobody's own."""
-        return self.areas.get(str(name), -1)
+    def zone_index(self, name: Any) -> int:
+        """Return the index of a zone; -1 for a zone that is not in the settings, which no gateway is in."""
+        return self.zone_indices.get(str(name), -1)
--- a/petrelhall/http/__init__.py
+++ b/petrelhall/http/__init__.py
@@ -1,1 +1,1 @@
-"""Protocols as codecs on streams; nothing here knows the platform."""
+"""HTTP as a codec on streams, independent of the platform's headers."""
--- a/petrelhall/http/h1.py
+++ b/petrelhall/http/h1.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 on a stream, both sides of it. h11 does the parsing; nothing here knows the platform's headers."""
+"""HTTP/1.1 client and server connections on a stream; h11 does the parsing. The platform's headers are unknown here."""
 
 from __future__ import annotations
 
@@ -12,60 +12,58 @@
 from petrelhall.http.room import BodyBudget
 from petrelhall.net.stream import Stream
 
-MOST_BODY = 65536
-MAX_REQUEST_BODY_BYTES = (
-    1 << 25
-) + MOST_BODY  # bytes of a client's body passed on as it comes: the platform's are up to 32 MB
-MOST_FLOWING = 1 << 26  # bytes of an answer passed on as it comes: the platform's are up to 32 MB
-MOST_INTERIM = 8  # answers of 1xx in front of the final one
+SMALL_BODY_BYTES = 65536  # larger bodies need memory budget or are streamed
+MAX_REQUEST_BODY_BYTES = (1 << 25) + SMALL_BODY_BYTES  # of a streamed request body: the platform allows 32 MB
+MAX_RESPONSE_BODY_BYTES = 1 << 26  # of a streamed response: the platform allows 32 MB
+MAX_INTERIM_RESPONSES = 8  # 1xx responses before the final one
 Headers = list[tuple[bytes, bytes]]
-OwnHeaders: Any = type(h11.Response(status_code=200, headers=[]).headers)
-END = h11.EndOfMessage()  # made once, since h11 checks its headers, of which there are none, at each making
+ValidatedHeaders: Any = type(h11.Response(status_code=200, headers=[]).headers)
+END_OF_MESSAGE = h11.EndOfMessage()  # shared: h11 checks its (empty) headers each time one is constructed
 
 
 @dataclass(frozen=True, slots=True)
 class HttpRequest:
-    """A whole request; the names of its headers are in lower case, and those that came twice are told."""
+    """A complete request; header names are lower case, and ``repeated`` names those that occur more than once."""
 
     method: bytes
     target: bytes
     headers: dict[bytes, bytes]
     body: bytes
     repeated: frozenset[bytes] = frozenset()
-    streaming_body: StreamingBody | None = None  # in place of ``body``, where it is too large to keep
+    streaming_body: StreamingBody | None = None  # replaces ``body`` if that is too large to buffer
 
 
 class StreamingBody:
-    """A client's body that is passed on as it comes; ``length`` of the whole is None for chunks.
+    """A request body that is streamed to the server; ``length`` is None for a chunked body.
 
-    ``spent`` from the first byte that a server was sent: what was passed on is not kept, and cannot go again.
-    ``broken`` tells how it ended where it did not come whole.
+    ``consumed`` is set once the first byte was sent to a server: streamed bytes are not kept, so there is no retry.
+    ``error`` says why the body ended if it is incomplete.
     """
 
     __slots__ = ("source", "length", "first_bytes", "consumed", "error", "is_overdue")
 
-    def __init__(self, source: HttpServerConnection, length: int | None, first: bytes) -> None:
+    def __init__(self, source: HttpServerConnection, length: int | None, first_bytes: bytes) -> None:
         self.source, self.length = source, length
-        self.first_bytes = first  # what had come of it, until that is passed on
+        self.first_bytes = first_bytes  # received before streaming began, until they are sent on
         self.consumed = False
         self.error: HttpError | None = None
-        self.is_overdue: Callable[[], bool] = lambda: False  # whether the client has run out of time to send
+        self.is_overdue: Callable[[], bool] = lambda: False  # whether the client has exceeded its time to send
 
     def read(self) -> tuple[bytes, bool] | HttpError:
-        """Give what more has come, and whether it is all."""
+        """Return the bytes received since the last call and whether the body is complete."""
         if self.error is None:
-            came = self.source.more_body()
-            if not isinstance(came, HttpError):
-                if came[0] or came[1] or not self.is_overdue():
-                    return came
-                came = HttpError(408, "body did not come whole")
-            self.error = came
+            received = self.source.read_more_body()
+            if not isinstance(received, HttpError):
+                if received[0] or received[1] or not self.is_overdue():
+                    return received
+                received = HttpError(408, "body did not come whole")
+            self.error = received
         return self.error
 
 
 @dataclass(frozen=True, slots=True)
 class HttpResponse:
-    """A whole answer."""
+    """A complete response."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -74,9 +72,9 @@
 
 @dataclass(slots=True)
 class StreamingResponse:
-    """An answer too large to keep: its head and first bytes, the rest still to come from ``source``.
+    """A response too large to buffer: its head and first bytes; the rest is read from ``source``.
 
-    ``done`` is told, once, whether the rest came whole; ``length`` is None for an answer in chunks.
+    ``on_done`` is called once, with whether the rest arrived in full; ``length`` is None for a chunked response.
     """
 
     status: int
@@ -90,36 +88,36 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpError:
-    """The other side said something that cannot be used; ``status`` is what a client is to be told."""
+    """An unusable message of the peer; ``status`` is the status to send to a client."""
 
     status: int
     reason: str
 
 
-def by_name(head: h11.Request | h11.Response) -> dict[bytes, bytes]:
-    """Give headers by their names in lower case; read raw, since h11's own sequence is slow to walk."""
+def headers_by_name(head: h11.Request | h11.Response) -> dict[bytes, bytes]:
+    """Return headers by lower-case name, from ``raw_items``, since iterating over h11's own sequence is slow."""
     return {name.lower(): value for name, value in head.headers.raw_items()}
 
 
-def repeated(head: h11.Request) -> frozenset[bytes]:
-    """Give the names of the headers that came more than once."""
-    times = Counter(name.lower() for name, _ in head.headers.raw_items())
-    return frozenset(name for name, count in times.items() if count > 1)
+def repeated_headers(head: h11.Request) -> frozenset[bytes]:
+    """Return the names of headers that occur more than once."""
+    occurrences = Counter(name.lower() for name, _ in head.headers.raw_items())
+    return frozenset(name for name, count in occurrences.items() if count > 1)
 
 
-def stated_length(headers: dict[bytes, bytes]) -> int | None:
-    """Give the length that a head says its body has; h11 has seen to its being a number."""
+def content_length(headers: dict[bytes, bytes]) -> int | None:
+    """Return the Content-Length, if any; h11 has checked that it is a number."""
     value = headers.get(b"content-length")
     return None if value is None else int(value)
 
 
-def ambiguous(headers: dict[bytes, bytes]) -> bool:
-    """Tell whether a head frames its body in two ways: two readers could see its end in two places."""
+def ambiguous_framing(headers: dict[bytes, bytes]) -> bool:
+    """Return whether the body is framed in two ways, so that two parsers could see its end in different places."""
     return b"content-length" in headers and b"transfer-encoding" in headers
 
 
-def gather(http: h11.Connection) -> tuple[bytes, Any]:
-    """Give all of a body that has come, and the event that ends or interrupts it (h11.RemoteProtocolError)."""
+def read_available(http: h11.Connection) -> tuple[bytes, Any]:
+    """Return the body bytes received and the event that ends or interrupts them (h11.RemoteProtocolError)."""
     data = bytearray()
     while isinstance(event := http.next_event(), h11.Data):
         data += event.data
@@ -127,135 +125,143 @@
 
 
 class HttpServerConnection:
-    """The side that takes requests, one at a time.
+    """The server side of a connection, reading one request at a time.
 
-    With ``room``, bodies over MOST_BODY are kept while that has some, and passed on as they come from there.
+    With ``body_budget``, bodies over SMALL_BODY_BYTES are buffered while it allows, and otherwise streamed.
     """
 
-    __slots__ = ("stream", "http", "asked", "headers", "body", "room", "vet", "held", "come")
+    __slots__ = ("stream", "http", "head", "headers", "body", "body_budget", "check_head", "reserved", "body_received")
 
     def __init__(
         self,
         stream: Stream,
-        room: BodyBudget | None = None,
-        vet: Callable[[HttpRequest], object] = lambda message: None,
+        body_budget: BodyBudget | None = None,
+        check_head: Callable[[HttpRequest], object] = lambda message: None,
     ) -> None:
-        self.stream, self.http, self.room = stream, h11.Connection(h11.SERVER), room
-        self.vet = vet  # reads a head before its large body is waited for: a Broken is answered at once
-        self.asked: h11.Request | None = None
+        self.stream, self.http, self.body_budget = stream, h11.Connection(h11.SERVER), body_budget
+        self.check_head = check_head  # checks a head before its large body is read; an HttpError is answered at once
+        self.head: h11.Request | None = None
         self.headers: dict[bytes, bytes] = {}
         self.body = bytearray()
-        self.held = self.come = 0  # bytes of room taken for this body; bytes of it that have come
+        self.reserved = self.body_received = 0  # bytes reserved in the budget for this body; bytes of it received
 
     def read_request(self) -> HttpRequest | HttpError | None:
-        """Give the next request once it is whole, or as much of it as is kept."""
+        """Return the next request once it is complete, or once its body has to be streamed."""
         if self.stream.incoming:
             self.http.receive_data(self.stream.take())
         elif not self.http.trailing_data[0]:
-            return None  # nothing new: asking h11 costs as much as parsing a head does
+            return None  # nothing new: asking h11 would cost as much as parsing a head
         try:
             while True:
                 event = self.http.next_event()
                 if event is h11.NEED_DATA:
-                    self.encourage()
+                    self.send_continue()
                     return None
                 if event is h11.PAUSED or isinstance(event, h11.ConnectionClosed):
                     return None
                 if isinstance(event, h11.Request):
-                    self.asked, self.headers, self.come = event, by_name(event), 0
+                    self.head, self.headers, self.body_received = event, headers_by_name(event), 0
                     self.body.clear()
                     if not event.http_version.startswith(b"1."):
                         return HttpError(400, "another version of HTTP")
-                    if ambiguous(self.headers):  # another request may hide in its body
+                    if ambiguous_framing(self.headers):  # request smuggling: the body could hide another request
                         return HttpError(400, "both Content-Length and Transfer-Encoding")
-                    if (stated_length(self.headers) or 0) > MOST_BODY:
-                        wrong = self.refused()
-                        if wrong is not None:
-                            return wrong
+                    if (content_length(self.headers) or 0) > SMALL_BODY_BYTES:
+                        rejection = self.rejection()
+                        if rejection is not None:
+                            return rejection
                 elif isinstance(event, h11.Data):
                     self.body += event.data
-                    self.come += len(event.data)
-                    if self.come > MOST_BODY and not self.keeps():
-                        wrong = self.refused()
-                        return wrong or self.message(True)
-                elif isinstance(event, h11.EndOfMessage) and self.asked is not None:
-                    return self.message(False)
+                    self.body_received += len(event.data)
+                    if self.body_received > SMALL_BODY_BYTES and not self.reserve_budget():
+                        rejection = self.rejection()
+                        return rejection or self.finish_request(True)
+                elif isinstance(event, h11.EndOfMessage) and self.head is not None:
+                    return self.finish_request(False)
         except h11.RemoteProtocolError as error:
             return HttpError(error.error_status_hint, str(error))
 
-    def refused(self) -> HttpError | None:
-        """Say why a request with a large body goes no further, as soon as that is known."""
-        if self.room is None or max(self.come, stated_length(self.headers) or 0) > MAX_REQUEST_BODY_BYTES:
+    def rejection(self) -> HttpError | None:
+        """Return why a request with a large body is rejected, as early as that is known."""
+        if (
+            self.body_budget is None
+            or max(self.body_received, content_length(self.headers) or 0) > MAX_REQUEST_BODY_BYTES
+        ):
             return HttpError(413, "body too large")
-        wrong = self.vet(self.word(b"-", None))
-        return wrong if isinstance(wrong, HttpError) else None
+        rejection = self.check_head(self.build_request(b"-", None))
+        return rejection if isinstance(rejection, HttpError) else None
 
-    def keeps(self) -> bool:
-        """Take room for what has come of a body, at once for all of it where its length is stated."""
-        wanted = max(self.come, stated_length(self.headers) or 0) - self.held
-        if self.room is None or (wanted > 0 and not self.room.reserve(wanted, self.held)):
+    def reserve_budget(self) -> bool:
+        """Reserve budget for the received part of a body, or for all of it if its length is stated."""
+        needed = max(self.body_received, content_length(self.headers) or 0) - self.reserved
+        if self.body_budget is None or (needed > 0 and not self.body_budget.reserve(needed, self.reserved)):
             return False
-        self.held += max(0, wanted)
+        self.reserved += max(0, needed)
         return True
 
     def release_body(self) -> None:
-        """Give back the room that a request's body took: it is answered, or its connection has ended."""
-        if self.room is not None and self.held:
-            self.room.release(self.held)
-        self.held = 0
+        """Release the budget reserved for a body: the request is answered or the connection has ended."""
+        if self.body_budget is not None and self.reserved:
+            self.body_budget.release(self.reserved)
+        self.reserved = 0
         self.body.clear()
 
-    def message(self, flows: bool) -> HttpRequest:
-        """Give the request that has come, whole or with the rest of its body to follow."""
+    def finish_request(self, streamed: bool) -> HttpRequest:
+        """Return the request received: complete, or with the rest of its body to be streamed."""
         body = bytes(self.body)
-        rest = StreamingBody(self, stated_length(self.headers), body) if flows else None
-        message = self.word(b"" if flows else body, rest)
+        streaming_body = StreamingBody(self, content_length(self.headers), body) if streamed else None
+        message = self.build_request(b"" if streamed else body, streaming_body)
         self.body.clear()
-        self.asked = None
+        self.head = None
         return message
 
-    def word(self, body: bytes, streaming_body: StreamingBody | None) -> HttpRequest:
-        """Put the head that was read and a body together."""
-        asked = self.asked
-        assert asked is not None
-        twice = len(self.headers) < len(asked.headers)
+    def build_request(self, body: bytes, streaming_body: StreamingBody | None) -> HttpRequest:
+        """Build a request from the head that was read and a body."""
+        head = self.head
+        assert head is not None
+        has_repeated = len(self.headers) < len(head.headers)
         return HttpRequest(
-            asked.method, asked.target, self.headers, body, repeated(asked) if twice else frozenset(), streaming_body
+            head.method,
+            head.target,
+            self.headers,
+            body,
+            repeated_headers(head) if has_repeated else frozenset(),
+            streaming_body,
         )
 
-    def more_body(self) -> tuple[bytes, bool] | HttpError:
-        """Give what more has come of a body that is passed on, and whether it is all."""
+    def read_more_body(self) -> tuple[bytes, bool] | HttpError:
+        """Return the bytes of a streamed body received since the last call and whether it is complete."""
         if self.stream.incoming:
             self.http.receive_data(self.stream.take())
         try:
-            data, event = gather(self.http)
+            data, event = read_available(self.http)
         except h11.RemoteProtocolError as error:
             return HttpError(error.error_status_hint, str(error))
-        self.come += len(data)
-        if self.come > MAX_REQUEST_BODY_BYTES:
+        self.body_received += len(data)
+        if self.body_received > MAX_REQUEST_BODY_BYTES:
             return HttpError(413, "body too large")
         if event is h11.NEED_DATA:
-            self.encourage()
+            self.send_continue()
             return data, False
         return (data, True) if isinstance(event, h11.EndOfMessage) else HttpError(400, "body cut off")
 
     @property
     def receiving_body(self) -> bool:
-        """Tell whether a body is still coming, in good form so far."""
+        """Whether a body is still being received, without errors so far."""
         return self.http.their_state is h11.SEND_BODY
 
-    def encourage(self) -> None:
-        """Let a client go on that waits for leave to send its body."""
+    def send_continue(self) -> None:
+        """Send 100 Continue if the client waits for it before sending its body."""
         if self.http.they_are_waiting_for_100_continue:
             self.send(h11.InformationalResponse(status_code=100, headers=[]))
 
     @property
     def request_started(self) -> bool:
-        """Tell whether a part of a request has come."""
-        return bool(self.stream.incoming or self.asked or self.http.trailing_data[0])
+        """Whether a part of a request has been received."""
+        return bool(self.stream.incoming or self.head or self.http.trailing_data[0])
 
     def send_response(self, status: int, headers: Headers, body: bytes, last: bool) -> bool:
-        """Write a whole answer and tell whether the connection can carry another request."""
+        """Send a complete response; return whether the connection can carry another request."""
         fields = [*headers, (b"Content-Length", b"%d" % len(body))]
         if last:
             fields.append((b"Connection", b"close"))
@@ -263,7 +269,7 @@
             data = self.http.send(h11.Response(status_code=status, headers=fields)) or b""
             if body:
                 data += self.http.send(h11.Data(data=body)) or b""
-            data += self.http.send(END) or b""
+            data += self.http.send(END_OF_MESSAGE) or b""
         except h11.LocalProtocolError:
             return False
         self.stream.write(data)
@@ -273,7 +279,7 @@
         return False
 
     def send_head(self, status: int, headers: Headers, length: int | None, last: bool) -> None:
-        """Write the head of an answer whose body follows in pieces: with its length, or in chunks."""
+        """Send the head of a response whose body follows in pieces, with its length or chunked."""
         fields = [
             *headers,
             (b"Content-Length", b"%d" % length) if length is not None else (b"Transfer-Encoding", b"chunked"),
@@ -283,30 +289,30 @@
         self.stream.write(self.http.send(h11.Response(status_code=status, headers=fields)) or b"")
 
     def send_body(self, data: bytes, end: bool) -> bool:
-        """Write a piece of the body, and at its end tell whether the connection can carry another request."""
+        """Send a part of the body; at its end, return whether the connection can carry another request."""
         if data:
             self.stream.write(self.http.send(h11.Data(data=data)) or b"")
         if not end:
             return False
-        self.stream.write(self.http.send(END) or b"")
+        self.stream.write(self.http.send(END_OF_MESSAGE) or b"")
         if self.http.our_state is h11.DONE and self.http.their_state is h11.DONE:
             self.http.start_next_cycle()
             return True
         return False
 
     def send(self, event: h11.InformationalResponse) -> None:
-        """Write something that is no answer yet."""
+        """Send an interim response."""
         self.stream.write(self.http.send(event) or b"")
 
 
 class HttpClientConnection:
-    """The side that asks, one request at a time."""
+    """The client side of a connection, sending one request at a time."""
 
-    __slots__ = ("stream", "http", "head", "headers", "body", "interim", "flowed")
+    __slots__ = ("stream", "http", "head", "headers", "body", "interim", "streamed_bytes")
 
     def __init__(self, stream: Stream) -> None:
         self.stream, self.http, self.interim = stream, h11.Connection(h11.CLIENT), 0
-        self.flowed = 0  # bytes of a flowing answer that have come
+        self.streamed_bytes = 0  # bytes received of a streaming response
         self.head: h11.Response | None = None
         self.headers: dict[bytes, bytes] = {}
         self.body = bytearray()
@@ -314,28 +320,28 @@
     def send_request(
         self, method: bytes, target: bytes, headers: Headers, body: bytes = b"", more: bool = False
     ) -> None:
-        """Write a request, or its beginning where there is ``more`` of its body to come.
+        """Send a request, or its beginning if there is ``more`` of its body to follow.
 
-        Its headers' names are tokens, its values were read by h11 or are our own numbers.
+        Header names must be valid tokens; values must have been parsed by h11 or be numbers of our own.
         """
-        # In h11's own form they are not checked again, which costs more than writing them does.
-        checked = OwnHeaders([(name, name.lower(), value) for name, value in headers])
+        # Headers of h11's own type are not validated again, which would cost more than writing them.
+        checked = ValidatedHeaders([(name, name.lower(), value) for name, value in headers])
         data = self.http.send(h11.Request(method=method, target=target, headers=checked)) or b""
         if body:
             data += self.http.send(h11.Data(data=body)) or b""
         if not more:
-            data += self.http.send(END) or b""
+            data += self.http.send(END_OF_MESSAGE) or b""
         self.stream.write(data)
 
     def send_body(self, data: bytes, end: bool) -> None:
-        """Write more of a request's body, or its end."""
+        """Send more of a request body, or its end."""
         out = self.http.send(h11.Data(data=data)) or b"" if data else b""
         if end:
-            out += self.http.send(END) or b""
+            out += self.http.send(END_OF_MESSAGE) or b""
         self.stream.write(out)
 
-    def read_response(self, most: int = MOST_BODY) -> HttpResponse | StreamingResponse | HttpError | None:
-        """Give the answer once it is whole; what comes of half an answer is broken, never served."""
+    def read_response(self, max_bytes: int = SMALL_BODY_BYTES) -> HttpResponse | StreamingResponse | HttpError | None:
+        """Return the response once it is complete; an incomplete response is an error and never served."""
         if self.stream.incoming:
             self.http.receive_data(self.stream.take())
         elif not self.stream.ended:
@@ -346,58 +352,61 @@
                 if event is h11.NEED_DATA:
                     if not self.stream.ended:
                         return None
-                    if self.stream.error:  # a reset is no end, though the body may state no other
+                    if self.stream.error:  # a reset does not complete a response, even one delimited by the close
                         return HttpError(502, f"broken ({self.stream.error})")
-                    self.http.receive_data(b"")  # what it cuts short is broken
+                    self.http.receive_data(b"")  # an incomplete message becomes a protocol error
                 elif isinstance(event, h11.Response):
-                    self.head, self.headers = event, by_name(event)
+                    self.head, self.headers = event, headers_by_name(event)
                     self.body.clear()
                     self.interim = 0
-                    length = stated_length(self.headers)
-                    if ambiguous(self.headers):
+                    length = content_length(self.headers)
+                    if ambiguous_framing(self.headers):
                         return HttpError(502, "answer whose end is told in two ways")
-                    if (length or 0) > MOST_FLOWING:
+                    if (length or 0) > MAX_RESPONSE_BODY_BYTES:
                         return HttpError(502, "answer too large")
-                    if (length or 0) > most:
-                        return self.flowing(event, length)
+                    if (length or 0) > max_bytes:
+                        return self.start_streaming(event, length)
                 elif isinstance(event, h11.Data):
                     self.body += event.data
-                    if len(self.body) > most:
-                        return self.flowing(self.head, stated_length(self.headers))
+                    if len(self.body) > max_bytes:
+                        return self.start_streaming(self.head, content_length(self.headers))
                 elif isinstance(event, h11.EndOfMessage) and self.head is not None:
                     head, self.head = self.head, None
                     return HttpResponse(head.status_code, self.headers, bytes(self.body))
-                elif isinstance(event, h11.InformationalResponse) and self.interim < MOST_INTERIM:
+                elif isinstance(event, h11.InformationalResponse) and self.interim < MAX_INTERIM_RESPONSES:
                     self.interim += 1
                 else:
                     return HttpError(502, "no answer")
         except h11.RemoteProtocolError as error:
             return HttpError(502, str(error))
 
-    def flowing(self, head: h11.Response | None, length: int | None) -> StreamingResponse | HttpError:
-        """Give what came of an answer too large to keep, to be passed on as the rest comes."""
+    def start_streaming(self, head: h11.Response | None, length: int | None) -> StreamingResponse | HttpError:
+        """Return the part of a large response received so far, the rest to be streamed."""
         if head is None:
             return HttpError(502, "no answer")
-        first = bytes(self.body)
-        self.flowed = len(first)
+        first_bytes = bytes(self.body)
+        self.streamed_bytes = len(first_bytes)
         self.body.clear()
-        return StreamingResponse(head.status_code, self.headers, first, length, self)
+        return StreamingResponse(head.status_code, self.headers, first_bytes, length, self)
 
     def read_body(self) -> tuple[bytes, bool] | HttpError:
-        """Give what more has come of a flowing answer, and whether it is all; broken where it was cut off."""
+        """Return the bytes of a streaming response received since the last call and whether it is complete.
+
+        A response that was cut off is an HttpError.
+        """
         if self.stream.incoming:
             self.http.receive_data(self.stream.take())
         try:
-            data, event = gather(self.http)
+            data, event = read_available(self.http)
             if event is h11.NEED_DATA and self.stream.ended:
                 if self.stream.error:
                     return HttpError(502, f"broken ({self.stream.error})")
-                self.http.receive_data(b"")  # what it cuts short is broken
+                self.http.receive_data(b"")  # an incomplete message becomes a protocol error
                 event = self.http.next_event()
         except h11.RemoteProtocolError as error:
             return HttpError(502, str(error))
-        self.flowed += len(data)
-        if self.flowed > MOST_FLOWING:
+        self.streamed_bytes += len(data)
+        if self.streamed_bytes > MAX_RESPONSE_BODY_BYTES:
             return HttpError(502, "answer without end")
         if event is h11.NEED_DATA:
             return data, False
@@ -407,7 +416,7 @@
         return data, True
 
     def start_next_cycle(self) -> bool:
-        """Make ready for the next request; False where this connection cannot carry one."""
+        """Prepare for the next request; return False if the connection cannot carry one."""
         stream = self.stream
         if stream.ended or stream.incoming or stream.outgoing or self.http.trailing_data[0]:
             return False
--- a/petrelhall/http/room.py
+++ b/petrelhall/http/room.py
@@ -1,39 +1,41 @@
-"""How many bytes of clients' bodies and of large answers one gateway holds at once. Pure: it only counts.
+"""Memory budget for request bodies and large responses of one gateway. Pure: it only counts.
 
-A body that is kept whole can be tried again and goes to a server at one stroke, however slowly it came; it needs
-memory. One that is passed on as it comes needs little, and can be tried once. So bodies are kept while there is room,
-and passed on from there; and the more are passed on at once, the less each may hold.
+A buffered body can be retried and is sent to a server in one go, however slowly it arrived, but it needs memory.
+A streamed body needs little memory, but allows only one attempt. So bodies are buffered while the budget allows,
+and streamed beyond that; the more streams are active, the fewer bytes each may hold.
 """
 
 from __future__ import annotations
 
-MAX_BUFFERED_BODY_BYTES = 1 << 20  # bytes of one body that is kept whole: 16 s at the pace that clients may send at
-COPIES = 3  # of a kept body while it goes out: as read, as the message, as what waits to be sent
-MIN_STREAM_BYTES, MAX_STREAM_BYTES = 16384, 131072  # bytes that one flow may hold in each direction
-BASE_MB, SHARE = 30.0, 0.3  # what a process needs besides, and the share of the rest that bodies kept may take
+MAX_BUFFERED_BODY_BYTES = 1 << 20  # of one body: 16 s at the minimum rate at which clients may send
+COPIES_WHILE_SENT = 3  # of a buffered body: as read, in the request, and in the send buffer
+MIN_STREAM_BYTES = 16384  # that one stream may hold in each direction, however many there are
+MAX_STREAM_BYTES = 131072  # that one stream may hold in each direction
+BASE_MB = 30.0  # memory that a process needs besides bodies
+BODY_MEMORY_SHARE = 0.3  # share of the remaining memory for buffered bodies, and as much for streams
 
 
 class BodyBudget:
-    """The bytes that there are for bodies, and who holds them."""
+    """Tracks the bytes held by buffered bodies and the number of active streams."""
 
     def __init__(self, memory_mb: float) -> None:
-        spare = max(2.0, memory_mb - BASE_MB) * 1048576.0
-        self.kept_most = int(SHARE * spare / COPIES)
-        self.flow_most = int(SHARE * spare)
-        self.kept = self.active_streams = 0
-
-    def reserve(self, more: int, held: int) -> bool:
-        """Take room for so many more bytes of a body that holds some already; False where it has to flow."""
-        if held + more > MAX_BUFFERED_BODY_BYTES or self.kept + more > self.kept_most:
+        spare_bytes = max(2.0, memory_mb - BASE_MB) * 1048576.0
+        self.max_buffered_bytes = int(BODY_MEMORY_SHARE * spare_bytes / COPIES_WHILE_SENT)
+        self.max_streaming_bytes = int(BODY_MEMORY_SHARE * spare_bytes)
+        self.buffered_bytes = self.active_streams = 0
+
+    def reserve(self, extra: int, held: int) -> bool:
+        """Reserve bytes for a body that already holds some; return False if it has to be streamed."""
+        if held + extra > MAX_BUFFERED_BODY_BYTES or self.buffered_bytes + extra > self.max_buffered_bytes:
             return False
-        self.kept += more
+        self.buffered_bytes += extra
         return True
 
     def release(self, held: int) -> None:
-        """Give back what a body that was kept had taken."""
-        self.kept -= held
+        """Release the bytes reserved for a buffered body."""
+        self.buffered_bytes -= held
 
     @property
     def bytes_per_stream(self) -> int:
-        """Give the bytes that one flow may hold in each direction."""
-        return max(MIN_STREAM_BYTES, min(MAX_STREAM_BYTES, self.flow_most // max(1, 2 * self.active_streams)))
+        """Return the bytes that one stream may hold in each direction."""
+        return max(MIN_STREAM_BYTES, min(MAX_STREAM_BYTES, self.max_streaming_bytes // max(1, 2 * self.active_streams)))
--- a/petrelhall/net/__init__.py
+++ b/petrelhall/net/__init__.py
@@ -1,1 +1,1 @@
-"""The gateway on sockets."""
+"""Network input and output: event loop, streams, framed connections, logging and counters."""
--- a/petrelhall/net/files.py
+++ b/petrelhall/net/files.py
@@ -1,4 +1,4 @@
-"""Files that are found whole: those two processes of one gateway share, and those that must outlast a crash."""
+"""Atomic and durable replacement of files: shared between processes of one gateway, or kept across a crash."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 
 
 def write_atomically(path: str, data: bytes) -> None:
-    """Write a file beside its place, then rename it there: a reader finds the old or the new, never half (OSError)."""
-    part = f"{path}.{os.getpid()}"
-    with open(part, "wb") as file:
+    """Write a temporary file, then rename it: readers see the old or the new content, never a part (OSError)."""
+    temporary_path = f"{path}.{os.getpid()}"
+    with open(temporary_path, "wb") as file:
         file.write(data)
-    os.replace(part, path)
+    os.replace(temporary_path, path)
 
 
 def write_durably(path: str, data: bytes) -> None:
-    """Write a file whole, and have it on the disk before this returns (OSError)."""
-    part = f"{path}.{os.getpid()}"
-    with open(part, "wb") as file:
+    """Replace a file atomically and flush file and directory to disk before returning (OSError)."""
+    temporary_path = f"{path}.{os.getpid()}"
+    with open(temporary_path, "wb") as file:
         file.write(data)
         file.flush()
         os.fsync(file.fileno())
-    os.replace(part, path)
-    folder = os.open(os.path.dirname(path) or ".", os.O_RDONLY)
+    os.replace(temporary_path, path)
+    directory_fd = os.open(os.path.dirname(path) or ".", os.O_RDONLY)
     try:
-        os.fsync(folder)
+        os.fsync(directory_fd)
     finally:
-        os.close(folder)
+        os.close(directory_fd)
--- a/petrelhall/net/frames.py
+++ b/petrelhall/net/frames.py
@@ -1,4 +1,4 @@
-"""Frames of bytes, each behind its length, on TCP connections."""
+"""Length-prefixed frames over TCP connections."""
 
 from __future__ import annotations
 
@@ -14,12 +14,15 @@
 
 HEADER = struct.Struct(">I")
 MAX_FRAME_BYTES = 4 << 20
-MAX_UNSENT_BYTES = 16 << 20  # past that the other side has stopped reading
-BACKLOG = 1024
+MAX_UNSENT_BYTES = 16 << 20  # beyond this, the peer is taken to have stopped reading
+LISTEN_BACKLOG = 1024
 
 
 class FrameConnection:
-    """One connection. It is closed in a turn of its own, since a handler may not close another's descriptor."""
+    """A connection that sends and receives frames.
+
+    It closes its socket in a later turn of the loop, since a handler may not close another handler's descriptor.
+    """
 
     def __init__(
         self,
@@ -34,7 +37,7 @@
         self.closed = False
 
     def send(self, content: bytes) -> None:
-        """Send a frame; one that cannot go is lost with the connection."""
+        """Send a frame; frames that cannot be sent are lost with the connection."""
         if self.closed or self.stream is None or self.stream.ended:
             return
         self.stream.write(HEADER.pack(len(content)) + content)
@@ -43,7 +46,7 @@
             self.loop.after(0.0, self.on_change)
 
     def on_change(self) -> None:
-        """Look what has become of the connection."""
+        """React to a change of the stream: opened, data received or ended."""
         stream = self.stream
         if self.closed or stream is None:
             return
@@ -58,7 +61,7 @@
             self.on_close()
 
     def read_frames(self, stream: Stream) -> None:
-        """Pass on all frames that are whole."""
+        """Pass all complete frames in the buffer to ``on_frame``."""
         start = 0
         while len(self.buffer) - start >= HEADER.size and not self.closed:
             (size,) = HEADER.unpack_from(self.buffer, start)
@@ -73,7 +76,7 @@
         del self.buffer[:start]
 
     def close(self) -> None:
-        """Close the connection; its owner is not told of what it did itself."""
+        """Close the connection; ``on_close`` is not called for a close by the owner."""
         if not self.closed:
             self.closed = True
             if self.stream is not None:
@@ -87,7 +90,7 @@
     on_close: Callable[[], None],
     on_open: Callable[[], None],
 ) -> FrameConnection:
-    """Begin to connect; where that fails at once, the owner is told in the next turn."""
+    """Start connecting; if that fails immediately, ``on_close`` is called in the next turn of the loop."""
     connection = FrameConnection(loop, on_frame, on_close, on_open)
     stream = connect_stream(loop, address, connection.on_change)
     if isinstance(stream, OSError):
@@ -99,7 +102,7 @@
 
 
 class FrameListener:
-    """Takes connections, each under a number that is never used twice."""
+    """Accepts connections, each under a number that is never reused."""
 
     def __init__(
         self,
@@ -110,40 +113,40 @@
     ) -> None:
         self.loop, self.on_frame, self.on_close = loop, on_frame, on_close
         self.connections: dict[int, FrameConnection] = {}
-        self.last = 0
+        self.last_number = 0
         self.sock = bind_socket(address)
-        self.sock.listen(BACKLOG)
+        self.sock.listen(LISTEN_BACKLOG)
         loop.register(self.sock.fileno(), select.EPOLLIN, self.on_ready)
 
     @property
     def address(self) -> Address:
-        """Give where it listens."""
+        """Return the address that the listener is bound to."""
         host, port = self.sock.getsockname()
         return host, port
 
     def on_ready(self, mask: int) -> None:
-        """Take one connection; epoll tells again if there are more."""
+        """Accept one connection; epoll reports the listener again if there are more."""
         try:
             sock, _ = self.sock.accept()
         except OSError:
             return
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.last += 1
-        number = self.last
+        self.last_number += 1
+        number = self.last_number
         connection = FrameConnection(
-            self.loop, lambda content: self.on_frame(number, content), lambda: self.forget(number)
+            self.loop, lambda content: self.on_frame(number, content), lambda: self.on_connection_closed(number)
         )
         connection.stream = Stream(self.loop, sock, connection.on_change)
         self.connections[number] = connection
 
-    def forget(self, number: int) -> None:
-        """Forget a connection that the other side has closed."""
+    def on_connection_closed(self, number: int) -> None:
+        """Remove a connection that the peer has closed."""
         self.connections.pop(number, None)
         self.on_close(number)
 
     def send(self, number: int, content: bytes) -> None:
-        """Send a frame on a connection that may be gone."""
+        """Send a frame on a connection, if it still exists."""
         connection = self.connections.get(number)
         if connection is not None:
             connection.send(content)
--- a/petrelhall/net/log.py
+++ b/petrelhall/net/log.py
@@ -1,4 +1,4 @@
-"""Lines for the people on call: few, and never in the way of the work."""
+"""Operator log: rate-limited lines, written without ever blocking the process."""
 
 from __future__ import annotations
 
@@ -6,36 +6,36 @@
 import select
 import time
 
-LINE = 1000  # bytes: under PIPE_BUF, so that a pipe ready for writing takes a line whole
-PER_SECOND = 20
+MAX_LINE_BYTES = 1000  # under PIPE_BUF, so that a pipe ready for writing accepts a whole line
+MAX_LINES_PER_SECOND = 20
 
 
 class Log:
-    """Writes to standard error; what comes too fast, or finds nobody reading, is counted and dropped."""
+    """Writes to standard error; lines beyond the rate limit, or while nobody reads, are counted and dropped."""
 
     def __init__(self, name: str = "petrelhall", fd: int = 2) -> None:
         self.name, self.fd, self.dropped = name, fd, 0
-        self.second, self.lines = 0, 0
-        self.ready = select.poll()
-        self.ready.register(fd, select.POLLOUT)
+        self.second, self.lines_this_second = 0, 0
+        self.writable = select.poll()
+        self.writable.register(fd, select.POLLOUT)
 
     def __call__(self, text: str) -> None:
-        """Write one line, unless too many were written this second."""
+        """Write one line, unless the limit of this second is reached."""
         second = int(time.monotonic())
         if second != self.second:
-            self.second, self.lines = second, 0
-        self.lines += 1
-        if self.lines > PER_SECOND:
+            self.second, self.lines_this_second = second, 0
+        self.lines_this_second += 1
+        if self.lines_this_second > MAX_LINES_PER_SECOND:
             self.dropped += 1
             return
         self.write(text)
 
     def write(self, text: str) -> None:
-        """Write one line now, whatever came before it."""
-        lost = f" ({self.dropped} lines dropped)" if self.dropped else ""
-        line = f"{self.name}: {text}{lost}".replace("\n", " ").encode(errors="replace")[:LINE] + b"\n"
-        # A log that is read slowly must not stop the gateway: a pipe that is not ready would block the write.
-        if not self.ready.poll(0):
+        """Write one line regardless of the rate limit."""
+        dropped_note = f" ({self.dropped} lines dropped)" if self.dropped else ""
+        line = f"{self.name}: {text}{dropped_note}".replace("\n", " ").encode(errors="replace")[:MAX_LINE_BYTES] + b"\n"
+        # A slow reader of the log must not stop the gateway: writing to a pipe that is not ready would block.
+        if not self.writable.poll(0):
             self.dropped += 1
             return
         try:
--- a/petrelhall/net/loop.py
+++ b/petrelhall/net/loop.py
@@ -1,8 +1,8 @@
-"""The event loop: readiness by epoll, timers, and tasks that are generators.
+"""Event loop: readiness by epoll, timers, and tasks that are generators.
 
-A task yields to wait and runs on when something wakes it. A wake-up says only that something may have
-changed, so a task looks again at whatever it waits for. Times are Unix milliseconds read off the monotonic
-clock: the offset is taken once, so that they never jump.
+A task yields to wait and is resumed when something wakes it. Wake-ups can be spurious, so a task checks its
+condition again after each one. Times are Unix milliseconds based on the monotonic clock: the offset is taken
+once, so that time never jumps.
 """
 
 from __future__ import annotations
@@ -16,20 +16,20 @@
 from typing import Any, TypeVar
 
 T = TypeVar("T")
-Steps = Generator[None, None, T]  # a piece of a task that ends with a value
+Steps = Generator[None, None, T]  # a coroutine run by a task; it ends with a value
 
-LONGEST_S = 60.0
-BLOCKED_POLL_MS = 1.0  # a look at the sockets that took as long has waited: nothing was ready when it began
+MAX_POLL_S = 60.0
+BLOCKED_POLL_MS = 1.0  # a poll that took this long has blocked: nothing was ready when it began
 OFFSET_MS = time.time() * 1000.0 - time.monotonic() * 1000.0
 
 
 def now_ms() -> float:
-    """Give the time now, in Unix milliseconds that only go forward."""
+    """Return the current time in Unix milliseconds; it never goes back."""
     return time.monotonic() * 1000.0 + OFFSET_MS
 
 
 class Timer:
-    """A call that is due at some time, unless cancelled."""
+    """A call scheduled for some time, unless cancelled."""
 
     __slots__ = ("when", "call")
 
@@ -37,7 +37,7 @@
         self.when, self.call = when, call
 
     def cancel(self) -> None:
-        """Call it off."""
+        """Cancel the call."""
         self.call = None
 
 
@@ -50,55 +50,55 @@
         self.loop, self.steps, self.queued, self.done = loop, steps, False, False
 
     def wake(self) -> None:
-        """Let it run on soon; one that runs looks at all it waits for before it waits again."""
+        """Schedule the task to resume; a task that is running checks all its conditions before it waits again."""
         if not self.queued and not self.done and self.loop.current is not self:
             self.queued = True
             self.loop.ready.append(self)
 
 
 class Loop:
-    """One thread's work."""
+    """Runs the handlers, timers and tasks of one thread."""
 
     def __init__(self, log: Callable[[str], None]) -> None:
         self.log, self.epoll = log, select.epoll()
         self.handlers: dict[int, Callable[[int], None]] = {}
-        self.timers: list[tuple[float, int, Timer]] = []  # a heap; the number keeps equal times in order
-        self.timed = 0
+        self.timers: list[tuple[float, int, Timer]] = []  # a heap; the sequence number orders equal times
+        self.timer_count = 0
         self.ready: deque[Task] = deque()
         self.current: Task | None = None
         self.running = False
-        self.polled_at = now_ms()  # when sockets were last asked what has come
-        self.previous_poll_at = self.polled_at  # when they were asked the time before
-        self.earliest_ready_at = self.polled_at  # what the last look found ready had not come before this time
+        self.polled_at = now_ms()  # when the sockets were last polled
+        self.previous_poll_at = self.polled_at  # when they were polled before that
+        self.earliest_ready_at = self.polled_at  # what the last poll reported was not ready before this time
 
-    # Readiness. A handler may close its own descriptor only: a later event of the same batch could else be
-    # taken for one of a new socket that was given the closed one's number. Tasks and timers may close any.
+    # Readiness. A handler may close only its own descriptor: a later event of the same batch could otherwise be
+    # attributed to a new socket with the same descriptor number. Tasks and timers may close any.
 
     def register(self, fd: int, mask: int, handler: Callable[[int], None]) -> None:
-        """Call the handler with what a descriptor is ready for."""
+        """Call the handler with the event mask whenever the descriptor is ready."""
         self.epoll.register(fd, mask)
         self.handlers[fd] = handler
 
     def modify(self, fd: int, mask: int) -> None:
-        """Change what a descriptor is watched for."""
+        """Change the events that a descriptor is watched for."""
         self.epoll.modify(fd, mask)
 
     def unregister(self, fd: int) -> None:
-        """Watch a descriptor no more."""
+        """Stop watching a descriptor."""
         if self.handlers.pop(fd, None) is not None:
             self.epoll.unregister(fd)
 
     # Timers and tasks
 
     def at(self, when: float, call: Callable[[], object]) -> Timer:
-        """Make a call at some time."""
+        """Schedule a call at a time (Unix ms)."""
         timer = Timer(when, call)
-        self.timed += 1
-        heapq.heappush(self.timers, (when, self.timed, timer))
+        self.timer_count += 1
+        heapq.heappush(self.timers, (when, self.timer_count, timer))
         return timer
 
     def after(self, delay_ms: float, call: Callable[[], object]) -> Timer:
-        """Make a call after some milliseconds."""
+        """Schedule a call after a delay."""
         return self.at(now_ms() + delay_ms, call)
 
     def spawn(self, steps: Steps[Any]) -> Task:
@@ -108,13 +108,13 @@
         return task
 
     def this_task(self) -> Task:
-        """Give the task that is running."""
+        """Return the running task."""
         if self.current is None:
             raise RuntimeError("no task is running")
         return self.current
 
     def sleep(self, delay_ms: float) -> Steps[None]:
-        """Wait for some milliseconds."""
+        """Suspend the running task for a time."""
         until = now_ms() + delay_ms
         self.at(until, self.this_task().wake)
         while now_ms() < until:
@@ -123,23 +123,26 @@
     # Running
 
     def run(self) -> None:
-        """Work until stopped."""
+        """Run until ``stop`` is called."""
         self.running = True
         while self.running:
             self.turn()
 
     def stop(self) -> None:
-        """End after this turn."""
+        """Stop after the current turn."""
         self.running = False
 
     def turn(self) -> None:
-        """Wait for whatever comes first; sockets before timers: what has come in time counts as in time."""
-        began = now_ms()
-        events = self.epoll.poll(self.patience())
+        """Wait for the next event and run what is due.
+
+        Sockets come before timers, so that data received before a deadline counts as in time.
+        """
+        poll_started_at = now_ms()
+        events = self.epoll.poll(self.poll_timeout_s())
         self.previous_poll_at, self.polled_at = self.polled_at, now_ms()
-        # A look that had to wait found nothing ready at first; else it may have come at any time of the last turn.
-        waited = self.polled_at - began >= BLOCKED_POLL_MS
-        self.earliest_ready_at = began if waited else self.previous_poll_at
+        # A poll that blocked had found nothing ready; otherwise data may have arrived at any time in the last turn.
+        blocked = self.polled_at - poll_started_at >= BLOCKED_POLL_MS
+        self.earliest_ready_at = poll_started_at if blocked else self.previous_poll_at
         for fd, mask in events:
             handler = self.handlers.get(fd)
             if handler is not None:
@@ -152,39 +155,39 @@
         for _ in range(len(self.ready)):
             self.step(self.ready.popleft())
 
-    def patience(self) -> float:
-        """Give the seconds that nothing is due for."""
+    def poll_timeout_s(self) -> float:
+        """Return the poll timeout: the seconds until the next task or timer is due."""
         if self.ready:
             return 0.0
         while self.timers and self.timers[0][2].call is None:
             heapq.heappop(self.timers)
         if not self.timers:
-            return LONGEST_S
-        return min(LONGEST_S, max(0.0, (self.timers[0][0] - now_ms()) / 1000.0))
+            return MAX_POLL_S
+        return min(MAX_POLL_S, max(0.0, (self.timers[0][0] - now_ms()) / 1000.0))
 
     def step(self, task: Task) -> None:
-        """Run a task to its next wait."""
+        """Run a task until it waits again."""
         task.queued, self.current = False, task
         try:
             next(task.steps)
         except StopIteration:
             task.done = True
-        except Exception as error:  # one task's fault is not the program's
+        except Exception as error:  # an error in one task must not end the program
             task.done = True
             self.log(f"task failed: {describe(error)}")
         finally:
             self.current = None
 
-    def guard(self, call: Callable[..., object], *values: object) -> None:
-        """Make a call whose failure must not end the program."""
+    def guard(self, call: Callable[..., object], *arguments: object) -> None:
+        """Make a call and log its failure, which must not end the program."""
         try:
-            call(*values)
+            call(*arguments)
         except Exception as error:
             self.log(f"handler failed: {describe(error)}")
 
 
 def describe(error: Exception) -> str:
-    """Give an exception and its place on one line."""
-    places = traceback.extract_tb(error.__traceback__)
-    place = f" in {places[-1].name}, line {places[-1].lineno}" if places else ""
-    return f"{error!r}{place}"
+    """Return an exception and the place where it was raised, on one line."""
+    frames = traceback.extract_tb(error.__traceback__)
+    location = f" in {frames[-1].name}, line {frames[-1].lineno}" if frames else ""
+    return f"{error!r}{location}"
--- a/petrelhall/net/stream.py
+++ b/petrelhall/net/stream.py
@@ -1,4 +1,4 @@
-"""Bytes over TCP without blocking: what has come in, what is still to go out, and whether it is over."""
+"""Non-blocking TCP streams: received bytes, bytes still to be sent, and whether the connection has ended."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 from petrelhall.net.loop import Loop, now_ms
 
-CHUNK = 65536
-MAX_UNREAD_BYTES = 98304  # bytes kept for a reader that is busy, unless it says otherwise; the kernel holds the rest
-MOST_FLOOD = 8 << 20  # bytes dropped behind a request in hand after which its sender has ended the connection
-GONE = select.EPOLLHUP | select.EPOLLERR
-LATE_MS = 20.0  # after which what epoll told in this turn is too old to begin an attempt on
-SINK = bytearray(1 << 20)  # where what nobody wants would go: the kernel drops it and writes nothing here
-IN = select.EPOLLIN | select.EPOLLRDHUP
+READ_CHUNK_BYTES = 65536
+MAX_UNREAD_BYTES = 98304  # buffered for a busy reader by default; the kernel holds the rest
+MAX_DROPPED_BYTES = 8 << 20  # excess bytes dropped during a request before the connection is ended
+HANGUP_EVENTS = select.EPOLLHUP | select.EPOLLERR
+POLL_MAX_AGE_MS = 20.0  # older results of epoll are checked again before an attempt is begun
+DISCARD_BUFFER = bytearray(1 << 20)  # argument for MSG_TRUNC: the kernel drops the bytes and writes nothing here
+READ_EVENTS = select.EPOLLIN | select.EPOLLRDHUP
 
 RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 SOCKET_FLAGS = socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC
@@ -25,7 +25,7 @@
 
 
 class Stream:
-    """One connection. ``notify`` is called whenever something about it has changed."""
+    """A TCP connection. ``notify`` is called whenever its state has changed."""
 
     __slots__ = (
         "loop",
@@ -38,7 +38,7 @@
         "incoming",
         "outgoing",
         "mask",
-        "unwanted",
+        "discarding",
         "received",
         "max_unread",
         "end_on_peer_close",
@@ -52,30 +52,29 @@
     def __init__(self, loop: Loop, sock: socket.socket, notify: Callable[[], object], connecting: bool = False) -> None:
         self.loop, self.sock, self.fd, self.notify = loop, sock, sock.fileno(), notify
         self.connecting, self.ended, self.error = connecting, False, 0
-        self.incoming, self.outgoing, self.unwanted = bytearray(), bytearray(), False
-        self.received = 0  # bytes taken in, all told
+        self.incoming, self.outgoing, self.discarding = bytearray(), bytearray(), False
+        self.received = 0  # total bytes received
         self.max_unread = MAX_UNREAD_BYTES
-        self.end_on_peer_close = False  # whether its close ends it at once, whatever lies unread before it
-        self.drop_excess = (
-            False  # whether what comes beyond what is kept is dropped: behind it, no close could be heard
-        )
-        self.dropped_bytes = 0  # bytes dropped so
+        self.end_on_peer_close = False  # end when the peer closes, even before unread data
+        # Read and drop bytes beyond ``max_unread``: otherwise a close behind them would not be noticed.
+        self.drop_excess = False
+        self.dropped_bytes = 0  # excess bytes dropped
         self.registered_at = now_ms()
-        self.queued_since = self.registered_at  # before this time it had not come to the listener (Unix ms)
-        self.earliest_arrival_at = self.registered_at  # before this time the bytes last taken in had not come (Unix ms)
-        self.mask = select.EPOLLOUT if connecting else IN
+        self.queued_since = self.registered_at  # it reached the listener no earlier than this (Unix ms)
+        self.earliest_arrival_at = self.registered_at  # the bytes last read arrived no earlier than this (Unix ms)
+        self.mask = select.EPOLLOUT if connecting else READ_EVENTS
         loop.register(self.fd, self.mask, self.on_ready)
 
     def on_ready(self, mask: int) -> None:
-        """Take in and send what can be, and tell the owner."""
+        """Receive and send what is possible, and notify the owner."""
         self.handle_ready(mask)
         self.notify()
 
     def poll(self) -> None:
-        """Ask the kernel now, and take in what has come: the only way to read outside of ``on_ready``.
+        """Poll this socket now and receive what has arrived; the only way to read outside of ``on_ready``.
 
-        A stream that was registered in this turn has not been asked about yet. Read without asking, the bytes of a
-        peer that has closed would pass for those of one that waits.
+        A stream registered in this turn has not been polled yet. If it were read without polling, the data of a peer
+        that has already closed would look like that of a peer that waits for a response.
         """
         if not self.ended and not self.connecting:
             mask = self.ready_now(self.mask & ~select.EPOLLOUT)
@@ -83,14 +82,14 @@
                 self.handle_ready(mask)
 
     def ready_now(self, mask: int) -> int:
-        """Give which of these events (epoll's and poll's are the same) the socket is ready for at this moment."""
-        look = select.poll()
-        look.register(self.fd, mask)
-        ready = look.poll(0)
+        """Return which of these events the socket is ready for now (epoll and poll share the event bits)."""
+        poller = select.poll()
+        poller.register(self.fd, mask)
+        ready = poller.poll(0)
         return ready[0][1] if ready else 0
 
     def handle_ready(self, mask: int) -> None:
-        """Take in and send what can be."""
+        """Receive and send what is possible."""
         if self.connecting:
             error = self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if error:
@@ -102,27 +101,27 @@
             if mask & select.EPOLLOUT:
                 self.flush()
             if mask & select.EPOLLRDHUP and self.end_on_peer_close:
-                self.end(0)  # what it said before, nobody waits for
-            elif mask & GONE and len(self.incoming) > self.max_unread:
-                # Told whether it is watched for or not: left so, the loop would do nothing else until it is read.
+                self.end(0)  # nobody needs the data before the close any more
+            elif mask & HANGUP_EVENTS and len(self.incoming) > self.max_unread:
+                # Hangups are reported whatever the mask: left registered, it would busy-loop until the reader reads.
                 self.end(self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR) or errno.ECONNRESET)
             elif mask & ~select.EPOLLOUT:
                 self.receive()
 
     def receive(self) -> None:
-        """Read what has come, once; the kernel was asked before whether the peer has closed (``handle_ready``)."""
+        """Read once; the caller has polled whether the peer has closed (``handle_ready``)."""
         full = len(self.incoming) > self.max_unread
         if self.ended or self.connecting or (full and not self.drop_excess):
             return self.watch()
         try:
-            if self.unwanted or full:
-                dropped = self.sock.recv_into(SINK, 0, socket.MSG_TRUNC)
+            if self.discarding or full:
+                dropped = self.sock.recv_into(DISCARD_BUFFER, 0, socket.MSG_TRUNC)
                 self.received += dropped
                 self.dropped_bytes += dropped * full
-                if not dropped or self.dropped_bytes > MOST_FLOOD:
+                if not dropped or self.dropped_bytes > MAX_DROPPED_BYTES:
                     self.end(0)
                 return
-            data = self.sock.recv(min(CHUNK, self.max_unread))
+            data = self.sock.recv(min(READ_CHUNK_BYTES, self.max_unread))
         except (BlockingIOError, InterruptedError):
             return
         except OSError as error:
@@ -131,33 +130,33 @@
             return self.end(0)
         self.received += len(data)
         self.incoming += data
-        # What came with a connection or before it was registered has waited for as long as the connection has.
+        # Data received with or before the registration may have waited for as long as the connection itself.
         new = self.registered_at >= self.loop.previous_poll_at
         self.earliest_arrival_at = self.queued_since if new else self.loop.earliest_ready_at
         if len(self.incoming) > self.max_unread:
             self.watch()
 
     def take(self) -> bytes:
-        """Give all bytes that have come and were not taken yet."""
+        """Return and remove all bytes received and not yet read."""
         data = bytes(self.incoming)
         self.incoming.clear()
         self.watch()
         return data
 
     def discard(self) -> None:
-        """Let all that comes from now on be dropped in the kernel: a body of 60 MB is not worth a copy."""
-        self.unwanted = True
+        """Drop all further input in the kernel, without copying it: bodies can be 60 MB."""
+        self.discarding = True
         self.take()
 
     def write(self, data: bytes) -> None:
-        """Send as much as goes at once and keep the rest for later."""
+        """Send as much as possible now and buffer the rest."""
         if not self.ended:
             self.outgoing += data
             if not self.connecting:
                 self.flush()
 
     def flush(self) -> None:
-        """Send what waits."""
+        """Send the buffered bytes."""
         while self.outgoing and not self.ended:
             try:
                 sent = self.sock.send(self.outgoing)
@@ -169,23 +168,23 @@
         self.watch()
 
     def watch(self) -> None:
-        """Watch for what is wanted, and nothing else."""
+        """Update the events that the loop watches this socket for."""
         if self.ended:
             return
         paused = len(self.incoming) > self.max_unread and not self.drop_excess
-        mask = select.EPOLLRDHUP * self.end_on_peer_close if paused else IN
+        mask = select.EPOLLRDHUP * self.end_on_peer_close if paused else READ_EVENTS
         mask |= select.EPOLLOUT if self.outgoing or self.connecting else 0
         if mask != self.mask:
             self.mask = mask
             self.loop.modify(self.fd, mask)
 
     def end(self, error: int) -> None:
-        """Note that the other side is gone; a descriptor in that state would be ready without end."""
+        """Mark the connection as ended and unregister it, as its descriptor would be reported ready forever."""
         self.ended, self.error = True, error
         self.loop.unregister(self.fd)
 
     def is_open_and_quiet(self) -> bool:
-        """Look at the socket itself whether the other side has closed or sent something: epoll may lag."""
+        """Return whether the peer has neither closed nor sent anything; asks the socket, since epoll may lag."""
         if self.ended or self.incoming:
             return False
         try:
@@ -197,39 +196,39 @@
         return False
 
     def is_peer_closed(self) -> bool:
-        """Tell whether the other side has closed, as the kernel knows it now, whatever lies unread before the close.
+        """Return whether the peer has closed, even if unread data lies before the close.
 
-        The socket itself is asked only where a turn of the loop has gone on for long since all sockets were.
+        The socket itself is polled only if the last poll of the loop is older than POLL_MAX_AGE_MS.
         """
-        if not self.ended and now_ms() - self.loop.polled_at > LATE_MS:
+        if not self.ended and now_ms() - self.loop.polled_at > POLL_MAX_AGE_MS:
             if self.ready_now(select.EPOLLRDHUP):
                 self.end(0)
         return self.ended
 
     def finish_sending(self) -> None:
-        """Tell the other side that nothing more comes."""
+        """Shut down the sending side."""
         try:
             self.sock.shutdown(socket.SHUT_WR)
         except OSError:
-            pass  # it has gone by itself
+            pass  # already disconnected
 
     def abort(self) -> None:
-        """Reset the connection: the other side must not take what it got for whole."""
+        """Reset the connection, so that the peer does not take truncated data for complete."""
         try:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         except OSError:
-            pass  # it has gone by itself
+            pass  # already disconnected
         self.close()
 
     def close(self) -> None:
-        """Close at once, whatever waits."""
+        """Close immediately and drop unsent bytes."""
         self.ended = True
         self.loop.unregister(self.fd)
         self.sock.close()
 
 
 def connect(loop: Loop, address: Address, notify: Callable[[], object]) -> Stream | OSError:
-    """Begin to connect; the error, where it fails at once, is a value."""
+    """Start connecting; an immediate failure is returned as a value."""
     try:
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | SOCKET_FLAGS)
     except OSError as error:  # no descriptors left
@@ -247,10 +246,10 @@
 
 
 def bind_socket(address: Address, kind: int = socket.SOCK_STREAM) -> socket.socket:
-    """Give a socket bound to an address that another process of this gateway may hold as well (OSError).
+    """Return a socket bound to an address that another process of this gateway may also hold (OSError).
 
-    SO_REUSEPORT: during an upgrade the new process listens where the old one still does, and the kernel
-    spreads new connections and datagrams over both; without it the new process cannot start at all.
+    SO_REUSEPORT: during an upgrade the new process listens on the address of the old one, and the kernel
+    distributes new connections and datagrams over both; without it the new process cannot start.
     """
     sock = socket.socket(socket.AF_INET, kind | SOCKET_FLAGS)
     try:
@@ -264,9 +263,9 @@
 
 
 def is_address_in_use(address: Address) -> bool:
-    """Tell whether another process listens at an address: one that SO_REUSEPORT would let us join unawares."""
+    """Return whether another process listens on an address, which SO_REUSEPORT would let us share unnoticed."""
     with socket.socket(socket.AF_INET, socket.SOCK_STREAM | SOCKET_FLAGS) as sock:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # connections of one that has ended are no matter
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # ignore connections left by an ended process
         try:
             sock.bind(address)
         except OSError as error:
@@ -275,8 +274,8 @@
 
 
 def parse_address(text: str) -> Address:
-    """Read host:port."""
+    """Parse host:port (ValueError)."""
     host, _, port = text.rpartition(":")
     if not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ValueError(f"not an address: {text!r}")
+        raise ValueError(f"invalid address, expected host:port: {text!r}")
     return host, int(port)
--- a/tests/test_frames.py
+++ b/tests/test_frames.py
@@ -1,4 +1,4 @@
-"""Frames on TCP: whole, in pieces, too large, closed by either side, and towards nobody."""
+"""Framed TCP connections: partial and oversized frames, closing by either side, unreachable peers."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from petrelhall.net.frames import HEADER, MAX_FRAME_BYTES, MAX_UNSENT_BYTES, FrameListener, connect
 from petrelhall.net.loop import Loop
 
-MOST_S = 10.0
+TIMEOUT_S = 10.0
 
 
-class Ends:
-    """A listener and what its connections said."""
+class FramePeers:
+    """A listener and what its connections received."""
 
     def __init__(self) -> None:
         self.log: list[str] = []
@@ -29,91 +29,95 @@
             self.closed.append,
         )
 
-    def until(self, condition: Callable[[], bool]) -> None:
-        """Work until something is so, for a bounded time."""
-        end = time.monotonic() + MOST_S
+    def run_until(self, condition: Callable[[], bool]) -> None:
+        """Run the loop until a condition holds, for a bounded time."""
+        end = time.monotonic() + TIMEOUT_S
         while not condition():
             assert time.monotonic() < end, self.log
             self.loop.after(10.0, lambda: None)
             self.loop.turn()
 
-    def raw(self) -> socket.socket:
+    def connect_socket(self) -> socket.socket:
         """Connect with a plain socket."""
-        sock = socket.create_connection(self.listener.address, MOST_S)
-        self.until(lambda: bool(self.listener.connections))
+        sock = socket.create_connection(self.listener.address, TIMEOUT_S)
+        self.run_until(lambda: bool(self.listener.connections))
         return sock
 
 
 @pytest.fixture
-def ends() -> Iterator[Ends]:
-    """Give a listener."""
-    found = Ends()
-    yield found
-    for connection in found.listener.connections.values():
+def peers() -> Iterator[FramePeers]:
+    """Provide a listener, and close it afterwards."""
+    created = FramePeers()
+    yield created
+    for connection in created.listener.connections.values():
         connection.close()
-    found.loop.turn()
-    found.listener.sock.close()
-    found.loop.epoll.close()
+    created.loop.turn()
+    created.listener.sock.close()
+    created.loop.epoll.close()
 
 
 def framed(content: bytes) -> bytes:
-    """Put its length before a content."""
+    """Return a frame with its length header."""
     return HEADER.pack(len(content)) + content
 
 
-def test_frames_go_both_ways_and_closing_is_told_to_the_other_side_only(ends: Ends) -> None:
-    got, events = list[bytes](), list[str]()
+def test_frames_go_both_ways_and_only_the_peer_is_notified_of_a_close(peers: FramePeers) -> None:
+    received, events = list[bytes](), list[str]()
     client = connect(
-        ends.loop, ends.listener.address, got.append, lambda: events.append("closed"), lambda: events.append("open")
+        peers.loop,
+        peers.listener.address,
+        received.append,
+        lambda: events.append("closed"),
+        lambda: events.append("open"),
     )
     client.send(b"before it is open")
     client.send(b"")
-    ends.until(lambda: len(ends.frames) == 2)
-    assert ends.frames == [(1, b"before it is open"), (1, b"")] and events == ["open"]
-    ends.listener.send(1, bytes(300_000))
-    ends.listener.send(2, b"to nobody")
-    ends.until(lambda: bool(got))
-    assert got == [bytes(300_000)]
+    peers.run_until(lambda: len(peers.frames) == 2)
+    assert peers.frames == [(1, b"before it is open"), (1, b"")] and events == ["open"]
+    peers.listener.send(1, bytes(300_000))
+    peers.listener.send(2, b"to nobody")
+    peers.run_until(lambda: bool(received))
+    assert received == [bytes(300_000)]
     client.close()
-    ends.until(lambda: ends.closed == [1])
-    assert events == ["open"] and not ends.listener.connections
+    peers.run_until(lambda: peers.closed == [1])
+    assert events == ["open"] and not peers.listener.connections
     client.send(b"too late")
 
 
-def test_frames_come_whole_however_they_are_cut(ends: Ends) -> None:
-    with ends.raw() as sock:
+def test_frames_are_reassembled_from_any_fragments(peers: FramePeers) -> None:
+    with peers.connect_socket() as sock:
         sent = framed(b"one") + framed(b"") + framed(b"three")
         for place in range(len(sent)):
             sock.sendall(sent[place : place + 1])
-            ends.loop.after(0.0, lambda: None)
-            ends.loop.turn()
-        ends.until(lambda: len(ends.frames) == 3)
+            peers.loop.after(0.0, lambda: None)
+            peers.loop.turn()
+        peers.run_until(lambda: len(peers.frames) == 3)
         sock.sendall(sent * 2 + HEADER.pack(9) + b"half")
-        ends.until(lambda: len(ends.frames) == 9)
-    ends.until(lambda: ends.closed == [1])
-    assert [content for _, content in ends.frames] == [b"one", b"", b"three"] * 3
+        peers.run_until(lambda: len(peers.frames) == 9)
+    peers.run_until(lambda: peers.closed == [1])
+    assert [content for _, content in peers.frames] == [b"one", b"", b"three"] * 3
 
 
-def test_a_frame_that_is_too_large_ends_its_connection(ends: Ends) -> None:
-    with ends.raw() as sock:
+def test_an_oversized_frame_closes_the_connection(peers: FramePeers) -> None:
+    with peers.connect_socket() as sock:
         sock.sendall(framed(b"fine") + HEADER.pack(MAX_FRAME_BYTES + 1))
-        ends.until(lambda: ends.closed == [1])
-    assert ends.frames == [(1, b"fine")]
+        peers.run_until(lambda: peers.closed == [1])
+    assert peers.frames == [(1, b"fine")]
 
 
-def test_who_does_not_read_is_let_go(ends: Ends) -> None:
-    with ends.raw() as sock:
+def test_a_peer_that_does_not_read_is_disconnected(peers: FramePeers) -> None:
+    with peers.connect_socket() as sock:
         piece = bytes(1 << 20)
         for _ in range(2 * (MAX_UNSENT_BYTES >> 20)):
-            ends.listener.send(1, piece)
-        ends.until(lambda: ends.closed == [1])
+            peers.listener.send(1, piece)
+        peers.run_until(lambda: peers.closed == [1])
         assert sock.fileno() >= 0
 
 
-def test_nobody_there_is_told_as_closed(ends: Ends) -> None:
-    with socket.create_server(("127.0.0.1", 0)) as gone:
-        address = gone.getsockname()
+def test_a_refused_connection_is_reported_as_closed(peers: FramePeers) -> None:
+    with socket.create_server(("127.0.0.1", 0)) as closed_server:
+        address = closed_server.getsockname()
     events = list[str]()
-    connect(ends.loop, address, lambda content: None, lambda: events.append("closed"), lambda: events.append("open"))
-    ends.until(lambda: bool(events))
+    connect(peers.loop, address, lambda content: None, lambda: events.append("closed"), lambda: events.append("open"))
+    peers.run_until(lambda: bool(events))
     assert events == ["closed"]
