--- a/petrelhall/gateway/front.py
+++ b/petrelhall/gateway/front.py
@@ -11,11 +11,19 @@
 
 from petrelhall.gateway.platform import HEALTH_PATH
 from petrelhall.gateway.requests import Answer, Request, RequestHandler, Served
-from petrelhall.http.h1 import MOST_INFLOWING, Broken, Flowing, Headers, Inflow, Message, ServerSide
-from petrelhall.http.room import Room
+from petrelhall.http.h1 import (
+    MAX_REQUEST_BODY_BYTES,
+    Headers,
+    HttpError,
+    HttpRequest,
+    HttpServerConnection,
+    StreamingBody,
+    StreamingResponse,
+)
+from petrelhall.http.room import BodyBudget
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, Steps, describe, now_ms
-from petrelhall.net.stream import MOST_UNREAD, NO_DESCRIPTOR, Address, Stream, bound
+from petrelhall.net.stream import MAX_UNREAD_BYTES, RESOURCE_ERRNOS, Address, Stream, bind_socket
 
 LISTEN_BACKLOG = 1024
 ACCEPTS_PER_TURN = 64
@@ -65,18 +73,18 @@
 class ClientCodec(Protocol):
     """Translates between HTTP messages and the gateway's requests and answers."""
 
-    def parse_request(self, message: Message) -> Request | Broken:
+    def parse_request(self, message: HttpRequest) -> Request | HttpError:
         """Parse a client's request, or say why it is rejected."""
 
-    def render_answer(self, answer: Answer | Broken) -> tuple[int, Headers, bytes]:
+    def render_answer(self, answer: Answer | HttpError) -> tuple[int, Headers, bytes]:
         """Return the status, headers and body of an answer."""
 
 
 class Client:
     """One client connection."""
 
-    def __init__(self, stream: Stream, body_budget: Room, vet: Callable[[Message], object]) -> None:
-        self.stream, self.http = stream, ServerSide(stream, body_budget, vet)
+    def __init__(self, stream: Stream, body_budget: BodyBudget, vet: Callable[[HttpRequest], object]) -> None:
+        self.stream, self.http = stream, HttpServerConnection(stream, body_budget, vet)
         # A request is in flight; any request was answered; the first byte of the next request has arrived.
         self.busy = self.answered = self.request_started = False
         self.idle_since = now_ms()  # when it connected, or was last answered
@@ -96,7 +104,7 @@
     @property
     def gone(self) -> bool:
         """Return whether the client has closed the connection."""
-        return self.stream.left()
+        return self.stream.is_peer_closed()
 
 
 class Listener:
@@ -112,7 +120,7 @@
         counts: Counts,
         log: Callable[[str], None],
         max_clients: int,
-        body_budget: Room,
+        body_budget: BodyBudget,
     ) -> None:
         self.body_budget = body_budget  # memory for request bodies and large answers
         self.loop, self.codec, self.request_handler, self.is_ready = loop, codec, request_handler, is_ready
@@ -126,7 +134,7 @@
         self.handed_over = False  # a newer process accepts the new connections
         self.answer_by = float("inf")  # Unix ms by which every accepted request must be answered
         self.on_empty: Callable[[], None] = lambda: None
-        self.listener = bound(address)
+        self.listener = bind_socket(address)
         self.listener.listen(LISTEN_BACKLOG)
         self.accepting = self.out_of_descriptors = self.at_capacity = False
         # Unix ms: when the accept queue was last known to be empty, when the socket was last registered with the
@@ -153,9 +161,9 @@
     def on_readable(self, mask: int) -> None:
         """Accept the waiting connections, up to ACCEPTS_PER_TURN."""
         # If there had been a connection at the poll before, that poll would have reported it.
-        if max(self.watched_since, self.readable_at) < self.loop.looked_before:
-            self.queued_since, self.accepted = self.loop.unseen_since, 0
-        self.readable_at = self.loop.looked_at
+        if max(self.watched_since, self.readable_at) < self.loop.previous_poll_at:
+            self.queued_since, self.accepted = self.loop.earliest_ready_at, 0
+        self.readable_at = self.loop.polled_at
         for _ in range(ACCEPTS_PER_TURN):
             if not self.accept():
                 return
@@ -176,7 +184,7 @@
         except OSError as error:
             if self.listener.fileno() < 0:  # the socket is closed: no connection can arrive any more
                 return False
-            if error.errno in NO_DESCRIPTOR:
+            if error.errno in RESOURCE_ERRNOS:
                 self.counts.add("connections", "no_descriptor")
                 self.out_of_descriptors = True
                 self.pause_accepting()
@@ -189,7 +197,7 @@
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         stream = Stream(self.loop, sock, lambda: None)
         # A close must be noticed even behind a flood of unread bytes.
-        stream.tell_close = stream.sift = True
+        stream.end_on_peer_close = stream.drop_excess = True
         stream.queued_since = self.queued_since
         client = Client(stream, self.body_budget, self.codec.parse_request)
         self.clients.add(client)
@@ -205,7 +213,7 @@
         self.at_capacity = False
         if len(self.clients) >= self.max_clients:
             evictable = [client for client in self.clients if not client.busy]
-            evictable.sort(key=lambda c: (c.answered, c.http.begun, c.idle_since))
+            evictable.sort(key=lambda c: (c.answered, c.http.request_started, c.idle_since))
             # Close as many as were accepted since the queue was last empty: with hundreds waiting, batches of eight
             # would make them wait for seconds. Connections that still linger will free their descriptors in a
             # moment, so that many fewer are closed.
@@ -238,11 +246,11 @@
         except Exception as error:  # an error on one connection must not stop the program, and is answered
             self.counts.add("answered", "internal_error")
             self.log(f"connection failed: {describe(error)}")
-            client.http.answer(500, [], b"internal error\n", True)
+            client.http.send_response(500, [], b"internal error\n", True)
             yield from self.linger(client)
         finally:
             client.stream.close()
-            client.http.free()
+            client.http.release_body()
             self.clients.discard(client)
             if self.closing and not self.clients and not self.out_of_descriptors:
                 self.on_empty()
@@ -256,27 +264,27 @@
                 yield from self.close_gracefully(client)
             return False
         client.busy = True
-        answer: Answer | Broken | None
-        if isinstance(received, Message) and received.target.partition(b"?")[0] == HEALTH_PATH:
+        answer: Answer | HttpError | None
+        if isinstance(received, HttpRequest) and received.target.partition(b"?")[0] == HEALTH_PATH:
             status, body = (200, b"ready\n") if self.is_ready() and not self.draining else (503, b"not ready\n")
-            keep_alive = client.http.answer(status, [], body, self.draining)
+            keep_alive = client.http.send_response(status, [], body, self.draining)
         else:
-            request = self.codec.parse_request(received) if isinstance(received, Message) else received
-            if isinstance(request, Request) and isinstance(received, Message) and received.rest is None:
-                request = subtract_queueing_time(request, now_ms() - client.stream.came_since)
+            request = self.codec.parse_request(received) if isinstance(received, HttpRequest) else received
+            if isinstance(request, Request) and isinstance(received, HttpRequest) and received.streaming_body is None:
+                request = subtract_queueing_time(request, now_ms() - client.stream.earliest_arrival_at)
             if isinstance(request, Request) and request.remaining_ms > self.answer_by - now_ms():
                 request = replace(request, remaining_ms=max(1.0, self.answer_by - now_ms()))
             if isinstance(request, Request) and request.request_id in self.request_ids:
                 # Only the duplicate is rejected; the first request proceeds.
-                request = Broken(400, "a request of that name is in hand")
-            if isinstance(request, Broken):
+                request = HttpError(400, "a request of that name is in hand")
+            if isinstance(request, HttpError):
                 # The first rejection of each status is logged for the engineer on call.
                 if not self.counts.get("answered", f"bad_{request.status}"):
                     self.log(f"first request answered {request.status}: {request.reason}")
                 self.counts.add("answered", f"bad_{request.status}")
                 answer = request
             else:
-                body_rest = received.rest if isinstance(received, Message) else None
+                body_rest = received.streaming_body if isinstance(received, HttpRequest) else None
                 self.request_ids.add(request.request_id)
                 if body_rest is not None:
                     self.start_streaming_body(client, body_rest)
@@ -285,86 +293,93 @@
                 finally:
                     self.request_ids.discard(request.request_id)
                     if body_rest is not None:
-                        self.body_budget.flows -= 1
-                        client.stream.keep, client.stream.sift = MOST_UNREAD, True
+                        self.body_budget.active_streams -= 1
+                        client.stream.max_unread, client.stream.drop_excess = MAX_UNREAD_BYTES, True
                 if answer is None:
                     return False
                 # A body that the client broke off is the client's error, whatever became of the attempt.
-                if body_rest is not None and body_rest.broken is not None:
-                    self.counts.add("answered", f"bad_{body_rest.broken.status}")
-                    answer = received = body_rest.broken
-            last = self.draining or isinstance(received, Broken) or client.http.receiving or client.stream.flooded > 0
-            if isinstance(answer, Served) and isinstance(answer.reply, Flowing):
+                if body_rest is not None and body_rest.error is not None:
+                    self.counts.add("answered", f"bad_{body_rest.error.status}")
+                    answer = received = body_rest.error
+            last = (
+                self.draining
+                or isinstance(received, HttpError)
+                or client.http.receiving_body
+                or client.stream.dropped_bytes > 0
+            )
+            if isinstance(answer, Served) and isinstance(answer.reply, StreamingResponse):
                 keep_alive = yield from self.stream_answer(client, answer.reply, last)
             else:
-                keep_alive = client.http.answer(*self.codec.render_answer(answer), last)
-        client.http.free()
+                keep_alive = client.http.send_response(*self.codec.render_answer(answer), last)
+        client.http.release_body()
         yield from self.wait_until_sent(client)
-        keep_alive = keep_alive and not client.stream.flooded
-        if not keep_alive and not (self.at_capacity and isinstance(received, Broken) and received.status == 408):
-            yield from self.linger(client, client.http.receiving)
+        keep_alive = keep_alive and not client.stream.dropped_bytes
+        if not keep_alive and not (self.at_capacity and isinstance(received, HttpError) and received.status == 408):
+            yield from self.linger(client, client.http.receiving_body)
         client.busy, client.answered, client.request_started, client.idle_since = False, True, False, now_ms()
         client.expires_at, client.bytes_before_request = client.idle_since + IDLE_TIMEOUT_MS, client.stream.received
         return keep_alive and not client.gone
 
-    def next_request(self, client: Client) -> Steps[Message | Broken | None]:
+    def next_request(self, client: Client) -> Steps[HttpRequest | HttpError | None]:
         """Wait for a complete request; returns None if the connection ends between requests."""
         while True:
-            received = client.http.request()
+            received = client.http.read_request()
             if received is not None or client.gone:
                 return received
-            started, now = client.http.begun, now_ms()
+            started, now = client.http.request_started, now_ms()
             if started and not client.request_started:
                 client.request_started = True
                 if client.answered:
                     client.expires_at = now + REQUEST_TIMEOUT_MS
             if client.overdue() if started else now >= client.expires_at or self.closing_idle:
                 if started:
-                    return Broken(408, "request did not come whole")
+                    return HttpError(408, "request did not come whole")
                 # Read what the kernel already holds, so that it is answered before the connection closes. A client
                 # accepted in this turn may have closed long ago right after its request; the close takes precedence.
-                client.stream.look()
+                client.stream.poll()
                 if not client.stream.incoming:
                     return None
                 continue
             yield
 
-    def start_streaming_body(self, client: Client, body_rest: Inflow) -> None:
+    def start_streaming_body(self, client: Client, body_rest: StreamingBody) -> None:
         """Set up streaming of a request body: little of it is buffered, and the client must keep sending."""
         self.counts.add("answered", "bodies_passed_on")
-        self.body_budget.flows += 1
-        client.stream.keep, client.stream.sift = self.body_budget.each, False
-        body_rest.late = client.overdue
+        self.body_budget.active_streams += 1
+        client.stream.max_unread, client.stream.drop_excess = self.body_budget.bytes_per_stream, False
+        body_rest.is_overdue = client.overdue
 
-    def stream_answer(self, client: Client, answer: Flowing, last: bool) -> Steps[bool]:
+    def stream_answer(self, client: Client, answer: StreamingResponse, last: bool) -> Steps[bool]:
         """Forward an answer as it arrives, reading from the server only as fast as the client reads.
 
         If the server sends nothing or the client reads nothing for STALL_TIMEOUT_MS, both connections are closed:
         there is no other way to tell the client that the rest will not come.
         """
-        answer.taken = True
-        self.body_budget.flows += 1
+        answer.claimed = True
+        self.body_budget.active_streams += 1
         source, wake = answer.source, self.loop.this_task().wake
-        source.stream.notify, source.stream.keep = wake, self.body_budget.each
+        source.stream.notify, source.stream.max_unread = wake, self.body_budget.bytes_per_stream
         content_type = answer.headers.get(b"content-type")
         # Only successful answers are streamed: the status is the server's 200.
-        client.http.begin(answer.status, [(b"Content-Type", content_type)] if content_type else [], answer.length, last)
-        data, complete, keep_alive = answer.first, False, False
+        client.http.send_head(
+            answer.status, [(b"Content-Type", content_type)] if content_type else [], answer.length, last
+        )
+        data, complete, keep_alive = answer.first_bytes, False, False
         stalled_at, expires_at = now_ms() + STALL_TIMEOUT_MS, now_ms() + STREAM_TIMEOUT_MS
         timer = self.loop.at(stalled_at, wake)
         try:
             while not client.gone:
                 if data or complete:
-                    keep_alive = client.http.more(data, complete)
+                    keep_alive = client.http.send_body(data, complete)
                     expires_at += len(data) * STREAM_MS_PER_BYTE
                     data, stalled_at = b"", now_ms() + STALL_TIMEOUT_MS
                     timer.cancel()
                     timer = self.loop.at(stalled_at, wake)
                     if complete:
                         return keep_alive
-                if len(client.stream.outgoing) < self.body_budget.each:
-                    part = source.flow()
-                    if isinstance(part, Broken):
+                if len(client.stream.outgoing) < self.body_budget.bytes_per_stream:
+                    part = source.read_body()
+                    if isinstance(part, HttpError):
                         break
                     data, complete = part
                     if data or complete:
@@ -377,9 +392,9 @@
             return False
         finally:
             timer.cancel()
-            self.body_budget.flows -= 1
-            source.stream.keep = MOST_UNREAD
-            answer.done(complete)
+            self.body_budget.active_streams -= 1
+            source.stream.max_unread = MAX_UNREAD_BYTES
+            answer.on_done(complete)
 
     def wait_until_sent(self, client: Client) -> Steps[None]:
         """Wait until the answer is written; a client that does not read it is dropped after SEND_TIMEOUT_MS."""
@@ -406,7 +421,7 @@
             sending
             and not client.gone
             and not client.overdue()
-            and client.bytes_seen - client.bytes_before_request < MOST_INFLOWING
+            and client.bytes_seen - client.bytes_before_request < MAX_REQUEST_BODY_BYTES
         ):
             timer = self.loop.after(SWEEP_INTERVAL_MS, self.loop.this_task().wake)
             yield
@@ -471,7 +486,7 @@
         not idle: it closes with its answer.
         """
         idle = sorted(
-            (client for client in self.clients if not client.busy and not client.http.begun),
+            (client for client in self.clients if not client.busy and not client.http.request_started),
             key=lambda client: client.idle_since,
         )
         for client in idle[:EVICTION_BATCH]:
--- a/petrelhall/gateway/platform.py
+++ b/petrelhall/gateway/platform.py
@@ -8,7 +8,7 @@
 from petrelhall.decide import interface as api
 from petrelhall.decide.interface import Ending
 from petrelhall.gateway.requests import Answer, Failed, Refused, Request, Served, Unsure
-from petrelhall.http.h1 import Broken, Headers, Inflow, Message, Reply
+from petrelhall.http.h1 import Headers, HttpError, HttpRequest, HttpResponse, StreamingBody
 from petrelhall.links.attempt import ResponseVerdict
 
 API_PATH = b"/api"
@@ -57,7 +57,7 @@
 class ForwardedRequest:
     """A client's message and the headers that are forwarded to servers."""
 
-    message: Message
+    message: HttpRequest
     headers: Headers
 
 
@@ -74,11 +74,11 @@
 
     # Clients
 
-    def parse_request(self, message: Message) -> Request | Broken:
+    def parse_request(self, message: HttpRequest) -> Request | HttpError:
         """Parse a client's request; an invalid one is rejected here."""
         path, _, query = message.target.partition(b"?")
         if path != API_PATH:
-            return Broken(404, "unknown path")
+            return HttpError(404, "unknown path")
         headers = message.headers
         try:
             if message.repeated & SINGLE_VALUED_HEADERS:  # the gateway and a server might each use a different one
@@ -91,7 +91,9 @@
                 raise InvalidRequest("X-Request-Id missing")
             effect = self.settings.classes[class_index].effect
             repeatable = effect is api.Effect.REPEATABLE
-            if message.method != (b"GET" if repeatable else b"POST") or (repeatable and (message.body or message.rest)):
+            if message.method != (b"GET" if repeatable else b"POST") or (
+                repeatable and (message.body or message.streaming_body)
+            ):
                 raise InvalidRequest("the class asks for another method, or for no body")
             keyed = effect is api.Effect.KEYED
             if keyed and not headers.get(b"idempotency-key"):
@@ -112,7 +114,7 @@
                 set_first,
             )
         except InvalidRequest as error:
-            return Broken(400, str(error))
+            return HttpError(400, str(error))
 
     def metering(self, value: bytes) -> tuple[float, int, int]:
         """Return the units and the size and first gateway of the customer's set; cached, as few values recur often."""
@@ -136,7 +138,7 @@
             raise InvalidRequest("X-Metering out of range")
         return units, set_size, set_first
 
-    def render_answer(self, answer: Answer | Broken) -> tuple[int, Headers, bytes]:
+    def render_answer(self, answer: Answer | HttpError) -> tuple[int, Headers, bytes]:
         """Return the status, headers and body of an answer to a client."""
         if isinstance(answer, Served):
             content_type = answer.reply.headers.get(b"content-type")
@@ -159,14 +161,14 @@
             received.method,
             received.target,
             headers,
-            received.body if received.rest is None else received.rest.first,
+            received.body if received.streaming_body is None else received.streaming_body.first_bytes,
         )
 
-    def rest(self, message: ForwardedRequest) -> Inflow | None:
+    def rest(self, message: ForwardedRequest) -> StreamingBody | None:
         """Return the rest of a streamed request body, or None if the message has none."""
-        return message.message.rest if isinstance(message, ForwardedRequest) else None
+        return message.message.streaming_body if isinstance(message, ForwardedRequest) else None
 
-    def verdict(self, reply: Reply) -> ResponseVerdict:
+    def verdict(self, reply: HttpResponse) -> ResponseVerdict:
         """Interpret a server's reply; only its explicit X-Not-Run header proves that the request did not run."""
         report = self.parse_load_report(reply.headers.get(b"x-load", b""))
         if reply.status == 200:
@@ -211,11 +213,11 @@
     return max(1.0, left_ms - DEADLINE_MARGIN_MS)
 
 
-def forwarded_headers(message: Message) -> Headers:
+def forwarded_headers(message: HttpRequest) -> Headers:
     """Return the headers that are forwarded to a server; a buffered body is sent with its length."""
     headers: Headers = [(name, message.headers[name]) for name in FORWARDED_HEADERS if name in message.headers]
-    if message.rest is not None:
-        length = message.rest.length
+    if message.streaming_body is not None:
+        length = message.streaming_body.length
         headers.append((b"Transfer-Encoding", b"chunked") if length is None else (b"Content-Length", b"%d" % length))
     elif message.body or b"content-length" in message.headers:
         headers.append((b"Content-Length", b"%d" % len(message.body)))
--- a/petrelhall/links/attempt.py
+++ b/petrelhall/links/attempt.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from petrelhall.decide.interface import Ending
-from petrelhall.http.h1 import Headers, Inflow, Reply
+from petrelhall.http.h1 import Headers, HttpResponse, StreamingBody
 
 
 class AttemptProgress(IntEnum):
@@ -47,8 +47,8 @@
     def outgoing(self, message: Any, wait_ms: float) -> tuple[bytes, bytes, Headers, bytes]:
         """Return method, target, headers and body."""
 
-    def rest(self, message: Any) -> Inflow | None:
+    def rest(self, message: Any) -> StreamingBody | None:
         """Return the remainder of a streamed request body, if the message has one."""
 
-    def verdict(self, reply: Reply) -> ResponseVerdict:
+    def verdict(self, reply: HttpResponse) -> ResponseVerdict:
         """Interpret a response."""
--- a/petrelhall/links/pool.py
+++ b/petrelhall/links/pool.py
@@ -9,14 +9,14 @@
 from typing import Any, Protocol
 
 from petrelhall.decide.interface import Ending
-from petrelhall.http.h1 import Broken, ClientSide, Flowing, Inflow, Reply
-from petrelhall.http.room import Room
+from petrelhall.http.h1 import HttpClientConnection, HttpError, HttpResponse, StreamingBody, StreamingResponse
+from petrelhall.http.room import BodyBudget
 from petrelhall.links.attempt import AttemptProgress, AttemptResult, RequestCodec
 from petrelhall.links.limits import NEVER
 from petrelhall.links.plan import ConnectFailure, ConnectionPlan, ConnectionRecord, ConnectionState, Unavailable, Wait
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, Steps, Timer, describe, now_ms
-from petrelhall.net.stream import NO_DESCRIPTOR, Address, connect
+from petrelhall.net.stream import RESOURCE_ERRNOS, Address, connect
 
 TICK_MS = 100.0
 BODY_STALL_TIMEOUT_MS = 4000.0  # a server must read some of a pending body within this time
@@ -27,7 +27,7 @@
 class ServerList(Protocol):
     """The current servers, as reported by discovery."""
 
-    changed: Callable[[], None]
+    on_change: Callable[[], None]
 
     @property
     def addresses(self) -> Mapping[str, Address]:
@@ -47,7 +47,7 @@
 
     __slots__ = ("record", "http")
 
-    def __init__(self, record: ConnectionRecord, http: ClientSide) -> None:
+    def __init__(self, record: ConnectionRecord, http: HttpClientConnection) -> None:
         self.record, self.http = record, http
         record.owner_data = self
 
@@ -63,15 +63,15 @@
         counts: Counts,
         plan: ConnectionPlan,
         connect_ms: float,
-        room: Room | None = None,
+        room: BodyBudget | None = None,
     ) -> None:
-        self.room = room or Room(0.0)  # memory budget for streamed bodies
+        self.room = room or BodyBudget(0.0)  # memory budget for streamed bodies
         self.loop, self.fleet, self.codec, self.counts, self.plan = loop, fleet, codec, counts, plan
         self.connect_ms = connect_ms
         self.waiters: dict[
             str, dict[object, Callable[[], object]]
         ] = {}  # callbacks of requests waiting for a connection, by server id
-        fleet.changed = self.sync_servers
+        fleet.on_change = self.sync_servers
         self.sync_servers()
         loop.after(TICK_MS, self.tick)
 
@@ -99,7 +99,7 @@
         if now_ms() >= deadline:
             return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "no time left")
         remaining_body = self.codec.rest(message)
-        if remaining_body is not None and remaining_body.spent:  # a streamed body cannot be sent again
+        if remaining_body is not None and remaining_body.consumed:  # a streamed body cannot be sent again
             return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "its body was passed on already")
         connection: Connection | AttemptResult | None = None
         record = self.plan.acquire(now_ms(), server_id, repeatable)
@@ -124,7 +124,9 @@
                 # The connection is unchanged except that its idle time is reset, which is harmless if that was short.
                 keep, cause = record.idle_ms < self.plan.settings.wait_ms, "unused"
                 return rejection
-            connection.http.ask(*self.codec.outgoing(message, deadline - now_ms()), more=remaining_body is not None)
+            connection.http.send_request(
+                *self.codec.outgoing(message, deadline - now_ms()), more=remaining_body is not None
+            )
             body_sent_at = 0.0
             if remaining_body is not None:
                 timeout_ms = deadline - now_ms()  # restarts at the body's last byte
@@ -138,19 +140,19 @@
             result = yield from self.read_response(connection, deadline, is_cancelled)
             if body_sent_at:
                 result = replace(result, body_sent_at=body_sent_at)
-            if isinstance(result.reply, Flowing):
+            if isinstance(result.reply, StreamingResponse):
                 if result.ending is not Ending.OK:  # only successful responses are streamed; others count as errors
                     return AttemptResult(
                         result.ending, result.progress, "answer too large", None, result.report, result.used
                     )
                 streamed_reply = result.reply
-                streamed_reply.done = lambda complete: self.on_stream_done(connection, complete)
+                streamed_reply.on_done = lambda complete: self.on_stream_done(connection, complete)
                 handed_over = True
                 # The listener takes the response in this loop turn or, if its client left, never: then close it.
-                self.loop.after(0.0, lambda: streamed_reply.taken or streamed_reply.done(False))
+                self.loop.after(0.0, lambda: streamed_reply.claimed or streamed_reply.on_done(False))
                 return result
             if result.progress is AttemptProgress.ANSWERED:
-                keep, cause = connection.http.again(), "told"
+                keep, cause = connection.http.start_next_cycle(), "told"
             elif result.ending in (Ending.CANCELLED, Ending.TIMEOUT):
                 cause = "given_up"
             return result
@@ -186,7 +188,7 @@
         return None
 
     def send_body(
-        self, connection: Connection, remaining_body: Inflow, is_cancelled: Callable[[], bool]
+        self, connection: Connection, remaining_body: StreamingBody, is_cancelled: Callable[[], bool]
     ) -> Steps[AttemptResult | None]:
         """Stream a body to the server, reading from the client only as fast as the server reads.
 
@@ -194,7 +196,7 @@
         off before its last byte never ran; if the client stopped, the server is not at fault.
         """
         stream, http = connection.http.stream, connection.http
-        remaining_body.spent, remaining_body.first = True, b""
+        remaining_body.consumed, remaining_body.first_bytes = True, b""
         wake = self.loop.this_task().wake
         stall_deadline = now_ms() + BODY_STALL_TIMEOUT_MS
         unsent = len(stream.outgoing)
@@ -212,12 +214,12 @@
                 if len(stream.outgoing) < unsent:
                     stall_deadline = now_ms() + BODY_STALL_TIMEOUT_MS
                 unsent = len(stream.outgoing)
-                if unsent < self.room.each:
+                if unsent < self.room.bytes_per_stream:
                     chunk = remaining_body.flow()
-                    if isinstance(chunk, Broken):
+                    if isinstance(chunk, HttpError):
                         return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, chunk.reason)
                     if chunk[0] or chunk[1]:
-                        http.ask_more(*chunk)
+                        http.send_body(*chunk)
                         unsent, stall_deadline = len(stream.outgoing), now_ms() + BODY_STALL_TIMEOUT_MS
                         if chunk[1]:
                             return None
@@ -242,7 +244,7 @@
         """
         if complete:
             self.plan.on_response(now_ms(), connection.record)
-        self.release(connection, complete and connection.http.again(), "told" if complete else "broken")
+        self.release(connection, complete and connection.http.start_next_cycle(), "told" if complete else "broken")
 
     def usable_connection(self, record: ConnectionRecord) -> Connection | AttemptResult | None:
         """Return the connection of an acquired record, started if new; None if it turns out to be closed."""
@@ -251,7 +253,7 @@
             return self.start_connecting(record, self.loop.this_task().wake)
         # The server may have closed it since the last epoll call. A write to a connection closed by the peer
         # ends as a reset, after which the request may have run.
-        if connection.http.stream.alive():
+        if connection.http.stream.is_open_and_quiet():
             return connection
         self.plan.on_closed_before_use(now_ms(), record)
         connection.http.stream.close()
@@ -314,10 +316,10 @@
         address: Any = record.server.address
         stream = connect(self.loop, address, notify)
         if isinstance(stream, OSError):
-            failure = ConnectFailure.OURS if stream.errno in NO_DESCRIPTOR else ConnectFailure.REFUSED
+            failure = ConnectFailure.OURS if stream.errno in RESOURCE_ERRNOS else ConnectFailure.REFUSED
             return self.report_connect_failure(record, failure, str(stream))
         self.counts.add("connections", "to_servers")
-        return Connection(record, ClientSide(stream))
+        return Connection(record, HttpClientConnection(stream))
 
     def report_connect_failure(self, record: ConnectionRecord, failure: ConnectFailure, reason: str) -> AttemptResult:
         """Report a connection that was not established to the plan, and return the result for the decision module."""
@@ -356,10 +358,10 @@
         """Wait for the response; it counts only when complete."""
         http, stream, record = connection.http, connection.http.stream, connection.record
         while True:
-            reply = http.reply()
+            reply = http.read_response()
             progress = AttemptProgress.UNWRITTEN if stream.outgoing else AttemptProgress.WRITTEN
-            if isinstance(reply, Flowing):  # the caller streams the rest
-                verdict = self.codec.verdict(Reply(reply.status, reply.headers, b""))
+            if isinstance(reply, StreamingResponse):  # the caller streams the rest
+                verdict = self.codec.verdict(HttpResponse(reply.status, reply.headers, b""))
                 return AttemptResult(
                     verdict.ending,
                     AttemptProgress.ANSWERED,
@@ -368,7 +370,7 @@
                     verdict.report,
                     verdict.used,
                 )
-            if isinstance(reply, Reply):
+            if isinstance(reply, HttpResponse):
                 self.plan.on_response(now_ms(), record)
                 if b"keep-alive" in reply.headers:
                     timeout = KEEP_ALIVE_TIMEOUT.search(reply.headers[b"keep-alive"])
@@ -383,7 +385,7 @@
                     verdict.report,
                     verdict.used,
                 )
-            if isinstance(reply, Broken) and progress and not stream.ended:
+            if isinstance(reply, HttpError) and progress and not stream.ended:
                 # A malformed response comes from a live server: an error of one request. Reported as a reset it would
                 # count as the server's death, and the decision module would avoid it and treat it as cold.
                 self.counts.add("servers", "spoilt_answers")
@@ -394,7 +396,7 @@
                         )
                     self.counts.add("servers", "too_large")
                 return AttemptResult(Ending.ERROR, progress, reply.reason)
-            if isinstance(reply, Broken) or stream.ended:
+            if isinstance(reply, HttpError) or stream.ended:
                 # If a connection breaks before the last byte is written, nothing ran. Only a failed connect is
                 # evidence about the server: this connection may have been closed as idle.
                 if not http.head:
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -12,7 +12,7 @@
 from petrelhall.decide import interface as api
 from petrelhall.decide.interface import Ending
 from petrelhall.gateway.requests import Request, RequestHandler
-from petrelhall.http.room import KEEP_EACH, LEAST_EACH, MOST_EACH, Room
+from petrelhall.http.room import MAX_BUFFERED_BODY_BYTES, MAX_STREAM_BYTES, MIN_STREAM_BYTES, BodyBudget
 from petrelhall.links.attempt import AttemptProgress, AttemptResult
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, Steps, now_ms
@@ -37,21 +37,21 @@
     """The memory budget for bodies, and how it is shared."""
 
     def test_bodies_are_buffered_within_the_budget_and_release_it(self) -> None:
-        room = Room(60.0)
+        room = BodyBudget(60.0)
         buffered = []
-        while room.keep(KEEP_EACH, 0):
-            buffered.append(KEEP_EACH)
+        while room.reserve(MAX_BUFFERED_BODY_BYTES, 0):
+            buffered.append(MAX_BUFFERED_BODY_BYTES)
         self.assertEqual(len(buffered), 3)  # 0.3 of 30 MB is available, and each body counts three times (its copies)
-        self.assertFalse(Room(500.0).keep(1, KEEP_EACH))
-        room.give_back(KEEP_EACH)
-        self.assertTrue(room.keep(KEEP_EACH, 0))
+        self.assertFalse(BodyBudget(500.0).reserve(1, MAX_BUFFERED_BODY_BYTES))
+        room.release(MAX_BUFFERED_BODY_BYTES)
+        self.assertTrue(room.reserve(MAX_BUFFERED_BODY_BYTES, 0))
 
     def test_buffer_of_each_streamed_body_shrinks_with_their_number(self) -> None:
-        room = Room(40.0)
-        self.assertEqual(room.each, MOST_EACH)
-        room.flows = 100
-        self.assertLessEqual(LEAST_EACH, room.each)
-        self.assertLessEqual(2 * 100 * room.each, 4 << 20)
+        room = BodyBudget(40.0)
+        self.assertEqual(room.bytes_per_stream, MAX_STREAM_BYTES)
+        room.active_streams = 100
+        self.assertLessEqual(MIN_STREAM_BYTES, room.bytes_per_stream)
+        self.assertLessEqual(2 * 100 * room.bytes_per_stream, 4 << 20)
 
 
 class StreamResetTest(unittest.TestCase):
@@ -64,10 +64,10 @@
             sock = listener.accept()[0]
         sock.setblocking(False)
         stream = Stream(loop, sock, lambda: None)
-        stream.keep = 1000
+        stream.max_unread = 1000
         peer.sendall(b"x" * 50000)
         deadline = time.monotonic() + PATIENCE_S
-        while len(stream.incoming) <= stream.keep and time.monotonic() < deadline:
+        while len(stream.incoming) <= stream.max_unread and time.monotonic() < deadline:
             loop.turn()
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         peer.close()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -16,7 +16,7 @@
 from types import SimpleNamespace
 from typing import Any
 
-from petrelhall.boxes.fleet import Fleet
+from petrelhall.boxes.fleet import ServerRegistry
 from petrelhall.decide import interface as api
 from petrelhall.decide.interface import Ending
 from petrelhall.decide.settings import SettingsError, read_settings
@@ -25,7 +25,7 @@
 from petrelhall.gateway.peers import Peers
 from petrelhall.gateway.platform import ForwardedRequest, Platform
 from petrelhall.gateway.requests import Refused, Request, RequestHandler
-from petrelhall.http.h1 import Message
+from petrelhall.http.h1 import HttpRequest
 from petrelhall.links.attempt import AttemptProgress
 from petrelhall.links.plan import ConnectionPlan
 from petrelhall.links.pool import ConnectionPool
@@ -36,7 +36,7 @@
 from petrelhall.operator.settings import Links
 from tests.peers import PATIENCE_S, PROFILE, Story, address, ask, entry, listen, read_message, reply
 
-FORWARDED_REQUEST = ForwardedRequest(Message(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
+FORWARDED_REQUEST = ForwardedRequest(HttpRequest(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
 
 
 class ServingTest(Story):
@@ -615,8 +615,8 @@
             socket.create_server(("127.0.0.1", 0), backlog=0) as server,
             socket.create_connection(server.getsockname()),
         ):  # the accept queue is full, so the connection attempt stays pending
-            fleet = Fleet(("a",))
-            fleet.take({"version": 1, "full": True, "servers": [entry("s0", address(server))]})
+            fleet = ServerRegistry(("a",))
+            fleet.apply({"version": 1, "full": True, "servers": [entry("s0", address(server))]})
             platform = Platform(read_settings(PROFILE), ("view", "change"), ("plan",))
             pool = ConnectionPool(self.loop, fleet, platform, self.counts, ConnectionPlan(Links(), 10, 30000.0), 5000.0)
             results: list[Any] = []
@@ -627,7 +627,7 @@
             self.loop.spawn(attempt())
             self.run_loop_until(lambda: pool.open)
             drained_entry = entry("s0", address(server), "Terminating")
-            fleet.take({"version": 2, "full": False, "servers": [drained_entry]})
+            fleet.apply({"version": 2, "full": False, "servers": [drained_entry]})
             server.accept()[0].close()  # frees the queue, so the connection is established
             self.run_loop_until(lambda: results)
             self.assertEqual(results[0].progress, AttemptProgress.UNWRITTEN)
@@ -661,8 +661,8 @@
 
     def test_attempt_whose_message_cannot_be_encoded_ends_as_not_written(self) -> None:
         with listen() as server:
-            fleet = Fleet(("a",))
-            fleet.take({"version": 1, "full": True, "servers": [entry("s0", address(server), "Ready")]})
+            fleet = ServerRegistry(("a",))
+            fleet.apply({"version": 1, "full": True, "servers": [entry("s0", address(server), "Ready")]})
             platform = Platform(read_settings(PROFILE), ("view", "change"), ("plan",))
             pool = ConnectionPool(self.loop, fleet, platform, self.counts, ConnectionPlan(Links(), 10, 30000.0), 250.0)
             results: list[Any] = []
@@ -686,7 +686,7 @@
             b"x-metering": b"units=1,spread=3,first=7",
         }
         request = Platform(settings, ("view", "change"), ("plan",)).parse_request(
-            Message(b"GET", b"/api?client=00000000b4d65521", headers, b"")
+            HttpRequest(b"GET", b"/api?client=00000000b4d65521", headers, b"")
         )
         assert isinstance(request, Request)
         events: list[Any] = []
@@ -702,14 +702,14 @@
             self.assertEqual(platform.parse_load_report(b"LOAD inflight=" + value), {}, value)
 
     def test_servers_in_an_unknown_state_are_cordoned_and_gone_ones_deregistered(self) -> None:
-        fleet = Fleet(("a", "b"))
+        fleet = ServerRegistry(("a", "b"))
         states = ("Ready", "Ready", "Odd")
         entries = [entry(f"s{index}", f"127.0.0.1:{index + 1}", state) for index, state in enumerate(states)]
         entries[1]["zone"] = "b"
-        update = fleet.take({"version": 1, "full": True, "servers": entries})
+        update = fleet.apply({"version": 1, "full": True, "servers": entries})
         phases_and_zones = [(server.phase, server.zone) for server in update.servers]
         self.assertEqual(phases_and_zones, [("healthy", 0), ("healthy", 1), ("cordoned", 0)])
-        update = fleet.take({"version": 2, "full": False, "servers": [{"id": "s0", "state": "Gone"}]})
+        update = fleet.apply({"version": 2, "full": False, "servers": [{"id": "s0", "state": "Gone"}]})
         self.assertEqual(
             [(server_state.address, server_state.phase) for server_state in update.servers], [("s0", "deregistered")]
         )
