--- a/petrelhall/links/pool.py
+++ b/petrelhall/links/pool.py
@@ -215,7 +215,7 @@
                     stall_deadline = now_ms() + BODY_STALL_TIMEOUT_MS
                 unsent = len(stream.outgoing)
                 if unsent < self.room.bytes_per_stream:
-                    chunk = remaining_body.flow()
+                    chunk = remaining_body.read()
                     if isinstance(chunk, HttpError):
                         return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, chunk.reason)
                     if chunk[0] or chunk[1]:
