--- a/benchmarks/scale/subjects/decide_tenants.py
+++ b/benchmarks/scale/subjects/decide_tenants.py
@@ -124,7 +124,7 @@
 def handed_over(module: Gateway) -> bytes:
     """Write a module's snapshot, and have a new one take it."""
     settings = module.settings
-    latency = [module.latency[kind] for kind in settings.classes]
+    latency = [module.latency_per_unit_ms[kind] for kind in settings.classes]
     content = ujson.dumps(snapshot.take(module, settings, latency, module.failure_rates, settings.plans)).encode()
     successor = Gateway(settings, 1)
     servers = tuple(api.Server(address) for address in module.servers)
--- a/petrelhall/decide/dawn.py
+++ b/petrelhall/decide/dawn.py
@@ -18,30 +18,30 @@
 class InitialFill:
     """Ages received from the other gateways."""
 
-    def __init__(self, others: int) -> None:
-        self.others, self.same_age = others, set[int]()
+    def __init__(self, other_gateways: int) -> None:
+        self.other_gateways, self.same_age_peers = other_gateways, set[int]()
         self.confirmed = False  # whether all gateways are known to have started together
 
     def age_entry(self, age_ms: float) -> dict[int, float]:
         """Return the message entry that reports this gateway's age; empty once it is too old."""
-        return {AGE_CODE: age_ms / 1000.0} if 0.0 < age_ms < REPORT_AGE_MS and self.others else {}
+        return {AGE_CODE: age_ms / 1000.0} if 0.0 < age_ms < REPORT_AGE_MS and self.other_gateways else {}
 
     def receive(self, sender: int, age_s: float, own_ms: float) -> bool:
         """Take in a peer's age; return True at the moment when the common start becomes certain."""
         if self.confirmed or own_ms >= REPORT_AGE_MS:
             return False
         if abs(1000.0 * age_s - own_ms) <= SAME_START_MS:
-            self.same_age.add(sender)
+            self.same_age_peers.add(sender)
         else:
-            self.same_age.clear()
-            self.others = 0  # a single older or younger gateway rules out a common start
-        self.confirmed = 0 < self.others <= len(self.same_age)
+            self.same_age_peers.clear()
+            self.other_gateways = 0  # a single older or younger gateway rules out a common start
+        self.confirmed = 0 < self.other_gateways <= len(self.same_age_peers)
         return self.confirmed
 
 
-def fill(customer: Customer) -> None:
+def add_missing_fill(customer: Customer) -> None:
     """Add to a customer's buckets what was left out while a common start was not certain."""
     plan = customer.plan
     if customer.owned_quota is not None:
-        customer.owned_quota.fill(customer.filled_at)
-    customer.shared_bucket = min(plan.burst, customer.shared_bucket + plan.burst * (1.0 - customer.even))
+        customer.owned_quota.fill(customer.refilled_at)
+    customer.shared_bucket = min(plan.burst, customer.shared_bucket + plan.burst * (1.0 - customer.even_share))
--- a/petrelhall/decide/policy.py
+++ b/petrelhall/decide/policy.py
@@ -14,7 +14,7 @@
 from petrelhall.decide import gossip
 from petrelhall.decide import interface as api
 from petrelhall.decide.correlation import significant
-from petrelhall.decide.dawn import InitialFill, fill
+from petrelhall.decide.dawn import InitialFill, add_missing_fill
 from petrelhall.decide.interface import Effect, Ending
 from petrelhall.decide.ledger import COUNTER_NAME_TTL_MS, evaluate_total
 from petrelhall.decide.retries import retry_cost
@@ -100,9 +100,9 @@
 # Age of a peer's report of running attempts when it arrives.
 ATTEMPT_REPORT_LAG_MS = 30.0
 # Probability that a customer's limit on concurrent attempts is already reached, above which no attempt is started.
-MAX_CAP_RISK = 0.2
+MAX_ATTEMPT_LIMIT_RISK = 0.2
 # The same in a large fleet.
-MAX_CAP_RISK_LARGE_FLEET = 0.1
+MAX_ATTEMPT_LIMIT_RISK_LARGE_FLEET = 0.1
 # Time for which attempts reported by a peer count.
 ATTEMPT_REPORT_TTL_MS = 300.0
 # Share of the messages that a peer accepts that reports of running attempts may take at most.
@@ -226,7 +226,9 @@
         self.uses_counter = settings.counter and not self.uses_peers
         self.uses_meter = settings.meter_ms > 0 and not self.uses_counter and not self.uses_peers
         # Expected latency per unit, in ms, by class.
-        self.latency = {request_class: INITIAL_LATENCY * request_class.aim_ms for request_class in settings.classes}
+        self.latency_per_unit_ms = {
+            request_class: INITIAL_LATENCY * request_class.aim_ms for request_class in settings.classes
+        }
         # Share of attempts that fail, by class.
         self.failure_rates = [0.0 for request_class in settings.classes]
 
@@ -245,8 +247,8 @@
 
     def refill(self, customer: Customer) -> None:
         """Bring a customer's token buckets and rates up to now."""
-        plan, even_share, elapsed_s = customer.plan, customer.even, (self.now - customer.filled_at) / 1000.0
-        customer.filled_at, total_rate = self.now, max(1e-9, customer.sent_rate + customer.others_rate)
+        plan, even_share, elapsed_s = customer.plan, customer.even_share, (self.now - customer.refilled_at) / 1000.0
+        customer.refilled_at, total_rate = self.now, max(1e-9, customer.sent_rate + customer.others_rate)
         own_share = max(even_share, customer.sent_rate / total_rate)
         if self.fills_by_time(customer):
             earned = own_share * elapsed_s * plan.rate * min(1.0, plan.rate / total_rate)
@@ -255,12 +257,12 @@
         customer.add_tokens(
             elapsed_s, max(0.0, unused_rate), plan.ceiling_rate * even_share, plan.ceiling_burst * even_share
         )
-        stale = not self.uses_meter or self.now - customer.others_at > USAGE_REPORT_TTL_MS
+        stale = not self.uses_meter or self.now - customer.others_reported_at > USAGE_REPORT_TTL_MS
         customer.decay_rates(math.exp(-elapsed_s * 1000.0 / RATE_DECAY_MS), stale)
 
     def fills_by_time(self, customer: Customer) -> bool:
         """Tell whether the bucket fills with time: only if this gateway's part of it can hold a whole request."""
-        holds_request = customer.plan.burst * customer.even >= self.settings.largest_units
+        holds_request = customer.plan.burst * customer.even_share >= self.settings.largest_units
         return self.uses_meter or (self.uses_counter and holds_request)
 
     def within_quota(self, customer: Customer, units: float, granted: bool | None) -> bool:
@@ -271,37 +273,41 @@
         plan, within = customer.plan, min(customer.bucket, customer.shared_bucket) >= units
         if plan.rate <= 0 or granted is not None:
             return granted is not False
-        reported_at = max(customer.others_at, self.peer_news_at, self.started * self.is_large_fleet)
+        reported_at = max(customer.others_reported_at, self.peer_message_at, self.started * self.is_large_fleet)
         if self.uses_counter or self.now - reported_at > USAGE_REPORT_TTL_MS:
             return within
         lag_s = (METER_LAG_MS if self.uses_meter else PEER_LAG_MS) / 1000.0
         may_borrow = customer.shared_bucket >= units + customer.others_rate * lag_s
         return may_borrow or within or (self.uses_meter and customer.bucket >= units)
 
-    def is_cap_likely_full(self, customer: Customer) -> bool:
+    def is_attempt_limit_likely_reached(self, customer: Customer) -> bool:
         """Tell whether a customer likely has all concurrent attempts that its plan allows, over all gateways.
 
         A peer reports its running attempts again and again, so that soon after its last report they count as ended.
         Until peers have been received for a while, the even share of the limit holds.
         """
-        places_left = customer.plan.max_open - customer.open
-        reports_missing = self.now - max(self.started, self.peer_news_at) > USAGE_REPORT_TTL_MS
+        places_left = customer.plan.max_open - customer.open_attempts
+        reports_missing = self.now - max(self.started, self.peer_message_at) > USAGE_REPORT_TTL_MS
         reports_missing = reports_missing or (
             self.now - self.started < RATE_DECAY_MS and not self.initial_fill.confirmed
         )
         if places_left <= 0 or not self.uses_peers or reports_missing:
-            return max(1, int(customer.plan.max_open * customer.even)) <= customer.open or places_left <= 0
+            return (
+                max(1, int(customer.plan.max_open * customer.even_share)) <= customer.open_attempts or places_left <= 0
+            )
         places_left -= int(
             sum(
                 count
-                for count, reported_at in customer.peers_open.values()
+                for count, reported_at in customer.peer_open_attempts.values()
                 if reported_at > self.now - self.attempt_report_ttl_ms
             )
         )
         # Attempts that the others have started since their reports: their number has a Poisson distribution.
         mean_started = customer.others_rate * ATTEMPT_REPORT_LAG_MS / 1000.0
         chance_of_place = math.exp(-mean_started) * sum(mean_started**n / math.factorial(n) for n in range(places_left))
-        return 1.0 - chance_of_place > (MAX_CAP_RISK_LARGE_FLEET if self.is_large_fleet else MAX_CAP_RISK)
+        return 1.0 - chance_of_place > (
+            MAX_ATTEMPT_LIMIT_RISK_LARGE_FLEET if self.is_large_fleet else MAX_ATTEMPT_LIMIT_RISK
+        )
 
     def report_attempts(self, customer: Customer) -> None:
         """Report to peers how many attempts of a customer are running, at once if the last message is old enough.
@@ -310,9 +316,9 @@
         """
         if not self.uses_peers or customer.plan.max_open <= 0:
             return
-        self.unsent_open[customer.code] = self.open_counts[customer.code] = customer.open
-        if not customer.open:
-            del self.open_counts[customer.code]
+        self.unsent_open_attempts[customer.code] = self.open_attempt_counts[customer.code] = customer.open_attempts
+        if not customer.open_attempts:
+            del self.open_attempt_counts[customer.code]
         if self.is_large_fleet:
             return self.send_to_customer_gateways(customer)
         delay_ms = self.broadcast_at + self.attempt_report_interval_ms - self.now
@@ -330,13 +336,15 @@
         recipients = customer.other_gateways(self.settings.position, self.settings.gateways)
         if not self.take_message_tokens(len(recipients), TARGETED_BUDGET_SHARE * self.settings.peer_messages_per_s):
             return  # it goes with the next message to all peers
-        code, units = customer.code, self.unsent.pop(customer.code, 0.0)
-        attempts = [(code, self.unsent_open.pop(code))] if code in self.unsent_open else []
+        code, units = customer.code, self.unsent_units.pop(customer.code, 0.0)
+        attempts = [(code, self.unsent_open_attempts.pop(code))] if code in self.unsent_open_attempts else []
         self.actions.append(api.Tell(gossip.encode([(code, units)], attempts, self.sent_sums), recipients))
 
     def broadcast(self) -> None:
         """Send to all peers what has not been reported to them yet, as far as one message holds it."""
-        content, self.unsent, self.unsent_open = gossip.pack(self.unsent, self.unsent_open, self.sent_sums)
+        content, self.unsent_units, self.unsent_open_attempts = gossip.pack(
+            self.unsent_units, self.unsent_open_attempts, self.sent_sums
+        )
         self.actions.append(api.Tell(content))
         self.broadcast_at = self.now
 
@@ -347,7 +355,7 @@
         """
         self.refill(customer)
         customer.shared_bucket = spend(customer.shared_bucket, max(0.0, units - customer.overflow), self.is_large_fleet)
-        customer.overflow, customer.others_at = 0.0, self.now
+        customer.overflow, customer.others_reported_at = 0.0, self.now
         customer.others_rate += units * 1000.0 / RATE_DECAY_MS
 
     def record_metered_usage(self, customer: Customer, used: float) -> None:
@@ -357,12 +365,12 @@
         """
         self.refill(customer)
         step = (
-            min(ADMITTED_SHARE_MAX_STEP, (self.now - customer.others_at) / ADMITTED_SHARE_ADJUST_MS)
+            min(ADMITTED_SHARE_MAX_STEP, (self.now - customer.others_reported_at) / ADMITTED_SHARE_ADJUST_MS)
             * (1.0 - used)
             / max(1.0, used)
         )
         customer.admit_share = max(ADMITTED_SHARE_MIN, min(1.0, customer.admit_share * (1.0 + step)))
-        customer.use_known, customer.others_at = True, self.now
+        customer.use_known, customer.others_reported_at = True, self.now
         others_rate = max(0.0, used * customer.plan.rate - customer.sent_rate)
         customer.others_rate += 0.5 * (others_rate - customer.others_rate) * self.uses_meter
 
@@ -376,14 +384,14 @@
         # The level is the most that the bucket can hold: the others have only taken from it since.
         if wanted and self.is_large_fleet and customer.max_level(self.now) < request.units:
             request.granted, wanted = False, False
-        if not wanted or near_deadline or customer.plan.rate <= 0 or self.ask_share < self.random.random():
+        if not wanted or near_deadline or customer.plan.rate <= 0 or self.counter_sampling_share < self.random.random():
             return False
         # Units that would have to be returned are unavailable to all gateways until then.
         if self.is_large_fleet and self.refusal_cause(request):
             return False
         name = customer.code << 8 | int(self.now / COUNTER_NAME_TTL_MS) & 255
-        request.counted = request.units / self.ask_share
-        amount, customer.correction = request.counted + customer.correction, 0.0
+        request.counted_units = request.units / self.counter_sampling_share
+        amount, customer.counter_correction = request.counted_units + customer.counter_correction, 0.0
         self.add_to_counter(name, amount, request, None)
         return True
 
@@ -409,35 +417,39 @@
             return
         customer = request.customer
         if event.ending is Ending.OK:
-            previous_total = customer.counter_total if customer.total_name == event.name else event.total
-            customer.counter_total, customer.total_name, customer.use_known = event.total, event.name, True
+            previous_total = customer.counter_total if customer.counter_total_name == event.name else event.total
+            customer.counter_total, customer.counter_total_name, customer.use_known = event.total, event.name, True
             if self.uses_counter:  # in a large fleet peers report this use: it must not count twice
                 self.record_others_usage(customer, max(0.0, event.total - previous_total - amount))
             request.granted, correction = evaluate_total(
-                customer, called_at, amount, request.counted, request.units, event.total
+                customer, called_at, amount, request.counted_units, request.units, event.total
             )
-            if correction and (self.is_large_fleet or self.ask_share >= 1.0) and not request.ended:
+            if correction and (self.is_large_fleet or self.counter_sampling_share >= 1.0) and not request.ended:
                 self.add_to_counter(event.name, correction, request, event.total)
             else:
-                customer.correction += min(0.0, correction)
+                customer.counter_correction += min(0.0, correction)
             reported, percent = self.admit_shares.get(customer.code, 100.0), max(1.0, 100.0 * customer.admit_share)
             if (
                 self.uses_counter
                 and self.settings.peers
                 and max(reported, percent) > SHARE_REPORT_RATIO * min(reported, percent)
             ):
-                self.unsent[customer.code] = percent
+                self.unsent_units[customer.code] = percent
                 self.set_admit_share(customer.code, percent, MAX_SHARES)
             growth_per_s = (
                 COUNTER_SAMPLING_FAST_GROWTH
-                if self.now - self.no_reply_at > USAGE_REPORT_TTL_MS
+                if self.now - self.counter_failure_at > USAGE_REPORT_TTL_MS
                 else COUNTER_SAMPLING_GROWTH
             )
-            self.ask_share += min(1.0 - self.ask_share, growth_per_s * min(1.0, (self.now - self.reply_at) / 1000.0))
-            self.reply_at = self.now
-        elif called_at > self.no_reply_at:  # one overload of the counter is one cut, however many calls it delayed
-            self.ask_share, self.no_reply_at = (
-                max(COUNTER_SAMPLING_MIN, self.ask_share * COUNTER_SAMPLING_CUT),
+            self.counter_sampling_share += min(
+                1.0 - self.counter_sampling_share, growth_per_s * min(1.0, (self.now - self.counter_reply_at) / 1000.0)
+            )
+            self.counter_reply_at = self.now
+        elif (
+            called_at > self.counter_failure_at
+        ):  # one overload of the counter is one cut, however many calls it delayed
+            self.counter_sampling_share, self.counter_failure_at = (
+                max(COUNTER_SAMPLING_MIN, self.counter_sampling_share * COUNTER_SAMPLING_CUT),
                 self.now,
             )
         if request.ended:  # the client has left meanwhile
@@ -447,7 +459,7 @@
 
     def on_peermessage(self, event: api.PeerMessage) -> None:
         """Record a peer's use, or, where the use is measured by the counter, the admitted share that it reports."""
-        self.peer_news_at = self.now
+        self.peer_message_at = self.now
         usages, attempts = gossip.decode(event.content, event.sender, self.received_sums)
         for code, value in usages:
             if code == gossip.AGE_CODE:
@@ -461,7 +473,7 @@
                 self.unknown_use.setdefault(code, []).append((self.now, value))
         for code, count in attempts:
             if code in self.by_code:
-                self.by_code[code].peers_open[event.sender] = count, self.now
+                self.by_code[code].peer_open_attempts[event.sender] = count, self.now
                 self.admit_waiting(self.by_code[code])
 
     def fill_token_buckets(self) -> None:
@@ -471,7 +483,7 @@
         """
         for customer in self.customers.values():
             self.refill(customer)
-            fill(customer)
+            add_missing_fill(customer)
 
     # Overload detection and throttling
 
@@ -482,19 +494,22 @@
         """
         self.actions.append(api.SetTimer(INTERVAL_MS, 0))
         self.interval_due = self.now + INTERVAL_MS
-        lateness, bad = self.delay_sum / max(1.0, self.served), self.overloads / max(MIN_OUTCOMES, self.ends)
+        lateness, bad = (
+            self.normalized_latency_sum / max(1.0, self.served_attempts),
+            self.overload_outcomes / max(MIN_OUTCOMES, self.ended_attempts),
+        )
         was_overloaded, (max_lateness, max_bad) = self.overloaded, OVERLOAD_END if self.overloaded else OVERLOAD_START
         self.overloaded = lateness > max_lateness or bad > max_bad
-        latency_excess = statistics.median(self.delays or [0.0]) / SHED_LATENCY - 1.0
+        latency_excess = statistics.median(self.normalized_latencies or [0.0]) / SHED_LATENCY - 1.0
         self.all_slow = latency_excess > 0.0
         self.update_admission_rate(latency_excess)
-        for customer in self.tracked.values():
+        for customer in self.tracked_customers.values():
             self.refill(customer)
             customer.samples = [*customer.samples[1 - CORRELATION_WINDOW :], (customer.interval_units, lateness + bad)]
             flagged = len(customer.samples) >= MIN_INTERVALS and significant(customer.samples, NORMAL_QUANTILE)
-            customer.flags = customer.flags + 1 if flagged else 0
+            customer.consecutive_flags = customer.consecutive_flags + 1 if flagged else 0
             near_quota = customer.demand + customer.others_rate > THROTTLE_MIN_USE * customer.plan.rate
-            if not self.overloaded or customer.flags < MIN_CONSECUTIVE_FLAGS:
+            if not self.overloaded or customer.consecutive_flags < MIN_CONSECUTIVE_FLAGS:
                 customer.throttle_rate = 0.0
             elif not customer.throttle_rate and near_quota:
                 customer.throttle_rate = customer.demand * THROTTLE_RATIO
@@ -505,20 +520,23 @@
                     f"{bad:.2f} of outcomes full or timed out"
                 )
             )
-        active = self.tracked | self.active
-        self.tracked = {
+        active = self.tracked_customers | self.active_customers
+        self.tracked_customers = {
             c.code: c for c in heapq.nlargest(MAX_TRACKED_CUSTOMERS, active.values(), key=lambda c: c.demand)
         }
         for code, customer in active.items():
             customer.interval_units = 0.0
-            if code not in self.tracked:
+            if code not in self.tracked_customers:
                 customer.stop_tracking()
         warm_servers = sum(
-            server_state.cold_since is None and self.now >= server_state.ejected_until for server_state in self.healthy
+            server_state.cold_since is None and self.now >= server_state.ejected_until
+            for server_state in self.healthy_servers
         )
         self.warm_rate += 0.2 * (self.warm_sends / max(1, warm_servers) - self.warm_rate) * (warm_servers > 0)
-        self.delay_sum = self.served = self.overloads = self.ends = self.warm_sends = 0.0
-        self.active = {}
+        self.normalized_latency_sum = self.served_attempts = self.overload_outcomes = self.ended_attempts = (
+            self.warm_sends
+        ) = 0.0
+        self.active_customers = {}
         self.drop_idle(self.now - IDLE_CUSTOMER_TTL_MS)
 
     def update_admission_rate(self, latency_excess: float) -> None:
@@ -529,16 +547,16 @@
         ``latency_excess`` is how far the median latency is above (or, if negative, below) the point of shedding.
         """
         self.avg_admitted += (ADMITTED_EWMA_WEIGHT if self.avg_admitted else 1.0) * (self.admitted - self.avg_admitted)
-        if self.all_slow and self.ends:
+        if self.all_slow and self.ended_attempts:
             # With few outcomes in the interval, the latencies are old and the cut is smaller.
-            cut = ADMISSION_RATE_CUT * min(1.0, latency_excess) * min(1.0, self.ends / FULL_CUT_OUTCOMES)
-            self.rate = min(self.rate, 1.0 + self.avg_admitted) * (1.0 - cut)
+            cut = ADMISSION_RATE_CUT * min(1.0, latency_excess) * min(1.0, self.ended_attempts / FULL_CUT_OUTCOMES)
+            self.admission_rate = min(self.admission_rate, 1.0 + self.avg_admitted) * (1.0 - cut)
         elif not self.all_slow:
-            self.rate *= 1.0 + ADMISSION_RATE_GROWTH - ADMISSION_RATE_FAST_GROWTH * min(0.0, latency_excess)
-        max_rate = max(self.initial_rate, ADMISSION_RATE_SLACK * (1.0 + self.avg_admitted))
-        self.rate = max(ADMISSION_RATE_MIN, min(max_rate, self.rate))
+            self.admission_rate *= 1.0 + ADMISSION_RATE_GROWTH - ADMISSION_RATE_FAST_GROWTH * min(0.0, latency_excess)
+        max_rate = max(self.initial_admission_rate, ADMISSION_RATE_SLACK * (1.0 + self.avg_admitted))
+        self.admission_rate = max(ADMISSION_RATE_MIN, min(max_rate, self.admission_rate))
         # The oldest third of the latencies is dropped, so that they do not count for ever.
-        self.admitted, self.delays = 0.0, self.delays[len(self.delays) // 3 :]
+        self.admitted, self.normalized_latencies = 0.0, self.normalized_latencies[len(self.normalized_latencies) // 3 :]
 
     # Servers and health
 
@@ -563,19 +581,21 @@
                 server_state.cold_since = max(server_state.cold_since or 0.0, server.since_ms)
             if server.phase == "deregistered":
                 del self.servers[server.address]
-        self.healthy = [
+        self.healthy_servers = [
             server_state for server_state in self.servers.values() if server_state.server.phase == "healthy"
         ]
-        self.initial_rate = max(ADMISSION_RATE_MIN, LIMIT_START * len(self.healthy) / self.settings.gateways)
+        self.initial_admission_rate = max(
+            ADMISSION_RATE_MIN, LIMIT_START * len(self.healthy_servers) / self.settings.gateways
+        )
         if not self.avg_admitted:  # nothing is known yet: per second as many as may run at first
-            self.rate = self.initial_rate
+            self.admission_rate = self.initial_admission_rate
 
     def pick_server(self, request: InFlightRequest) -> ServerState | None:
         """Pick a server from the first of the request's pools that has one with capacity."""
         if not request.arrival.pools:
-            return self.cheapest_server(request, self.healthy)
+            return self.cheapest_server(request, self.healthy_servers)
         pools = (
-            [server_state for server_state in self.healthy if server_state.server.pool == pool]
+            [server_state for server_state in self.healthy_servers if server_state.server.pool == pool]
             for pool in request.arrival.pools
         )
         return next(filter(None, (self.cheapest_server(request, candidates) for candidates in pools)), None)
@@ -590,11 +610,15 @@
             share = cold_start_share(candidate, self.now, self.settings, self.warm_rate)
             # Only if its last attempt is recent: a single stuck attempt must not exclude a server for ever.
             silent = (
-                candidate.open > 0
-                and candidate.answer_at < self.now - SILENCE_LATENCY * request.kind.aim_ms < candidate.sent
+                candidate.open_attempts > 0
+                and candidate.answer_at
+                < self.now - SILENCE_LATENCY * request.request_class.aim_ms
+                < candidate.last_sent_at
             )
             already_tried = any(attempt.target is candidate for attempt in request.attempts)
-            unavailable = candidate.open >= max(1.0, candidate.limit * share) or self.now < candidate.ejected_until
+            unavailable = (
+                candidate.open_attempts >= max(1.0, candidate.limit * share) or self.now < candidate.ejected_until
+            )
             if not share or silent or already_tried or unavailable or not self.may_send_to(request, candidate.server):
                 continue
             slowness = decay(candidate.slowness, 1.0, (self.now - candidate.measured_at) / SLOWNESS_HALF_LIFE_MS)
@@ -603,15 +627,15 @@
             others = decay(
                 candidate.other_load, usual_others, (self.now - candidate.reported_at) / LOAD_REPORT_HALF_LIFE_MS
             )
-            cost = (candidate.open + others + 1.0) * slowness / max(0.01, candidate.server.weight)
+            cost = (candidate.open_attempts + others + 1.0) * slowness / max(0.01, candidate.server.weight)
             # The probability that the server answers this class, and when it was last updated.
-            health, updated_at = candidate.health.get(request.index, (1.0, -math.inf))
+            health, updated_at = candidate.health.get(request.class_index, (1.0, -math.inf))
             cost /= (
                 max(
                     MIN_HEALTH,
                     decay(
                         health,
-                        1.0 - self.failure_rates[request.index],
+                        1.0 - self.failure_rates[request.class_index],
                         (self.now - updated_at) / HEALTH_HALF_LIFE_MS,
                     ),
                 )
@@ -619,7 +643,7 @@
             )
             zone_cost = CROSS_ZONE_COST * self.settings.cross_zone_price * (candidate.server.zone != self.settings.zone)
             # A server that got no attempt from here yet has most likely no open connection.
-            handshake_cost = HANDSHAKE_COST * self.settings.handshake_price * (not candidate.sent)
+            handshake_cost = HANDSHAKE_COST * self.settings.handshake_price * (not candidate.last_sent_at)
             cost *= 1.0 + zone_cost + handshake_cost + COST_JITTER * self.random.random()
             if cost < lowest_cost:
                 cheapest, lowest_cost = candidate, cost
@@ -632,33 +656,41 @@
         servers that were quick would make it worse.
         """
         if good or not self.all_slow:
-            server_state.health[request.index] = (
-                0.5 * (server_state.health.get(request.index, (1.0, 0.0))[0] + good),
+            server_state.health[request.class_index] = (
+                0.5 * (server_state.health.get(request.class_index, (1.0, 0.0))[0] + good),
                 self.now,
             )
-            self.failure_rates[request.index] += FAILURE_EWMA_WEIGHT * ((not good) - self.failure_rates[request.index])
+            self.failure_rates[request.class_index] += FAILURE_EWMA_WEIGHT * (
+                (not good) - self.failure_rates[request.class_index]
+            )
 
     def learn_from_outcome(self, server_state: ServerState, event: api.Outcome, request: InFlightRequest) -> None:
         """Learn from how an attempt ended: latency, the server's concurrency limit, outlier ejection."""
-        ending, lateness = event.ending, event.latency_ms / request.kind.aim_ms
-        self.ends += ending not in (Ending.MOOT, Ending.CANCELLED)
-        self.overloads += ending in (Ending.FULL, Ending.TIMEOUT)
+        ending, lateness = event.ending, event.latency_ms / request.request_class.aim_ms
+        self.ended_attempts += ending not in (Ending.MOOT, Ending.CANCELLED)
+        self.overload_outcomes += ending in (Ending.FULL, Ending.TIMEOUT)
         relative_latency = event.latency_ms / max(1e-3, self.expected_ms(request))
         # A time-out that was shorter than the expected latency says nothing about the server.
         informative = ending is Ending.OK or (ending is Ending.TIMEOUT and relative_latency > 1.0)
         if informative and self.stall_at < self.now:
-            self.latency[request.kind] *= 1.0 + FLEET_EWMA_WEIGHT * (relative_latency - 1.0)
+            self.latency_per_unit_ms[request.request_class] *= 1.0 + FLEET_EWMA_WEIGHT * (relative_latency - 1.0)
             server_state.slowness += SERVER_EWMA_WEIGHT * (min(relative_latency, 10.0) - server_state.slowness)
-            server_state.delay += SERVER_EWMA_WEIGHT * (lateness - server_state.delay)
+            server_state.normalized_latency += SERVER_EWMA_WEIGHT * (lateness - server_state.normalized_latency)
             if not request.overdue and server_state.cold_since is None:  # slow start is no overload
-                self.delays = [*self.delays[1 - LATENCY_SAMPLES :], lateness]
+                self.normalized_latencies = [*self.normalized_latencies[1 - LATENCY_SAMPLES :], lateness]
             server_state.measured_at, served = self.now, ending is Ending.OK
-            self.served, self.delay_sum = self.served + served, self.delay_sum + lateness * served
+            self.served_attempts, self.normalized_latency_sum = (
+                self.served_attempts + served,
+                self.normalized_latency_sum + lateness * served,
+            )
             # A limit grows only while it is in use: otherwise the latency says nothing about it.
-            if server_state.delay < LIMIT_GROWTH_LATENCY and server_state.open + 1.0 > 0.5 * server_state.limit:
+            if (
+                server_state.normalized_latency < LIMIT_GROWTH_LATENCY
+                and server_state.open_attempts + 1.0 > 0.5 * server_state.limit
+            ):
                 server_state.limit = min(LIMIT_MAX, server_state.limit + 1.0 / server_state.limit)
         if (
-            server_state.delay > LIMIT_CUT_LATENCY or ending is Ending.FULL
+            server_state.normalized_latency > LIMIT_CUT_LATENCY or ending is Ending.FULL
         ) and self.now - server_state.limit_cut_at > LIMIT_CUT_INTERVAL_MS:
             server_state.limit, server_state.limit_cut_at = (
                 max(LIMIT_MIN, server_state.limit * LIMIT_CUT_FACTOR),
@@ -685,7 +717,7 @@
             self.record_health(server_state, request, ending is Ending.OK)
         if "rif" in event.report:
             server_state.other_load, server_state.reported_at = (
-                max(0.0, event.report["rif"] - server_state.open),
+                max(0.0, event.report["rif"] - server_state.open_attempts),
                 self.now,
             )
             self.mean_load += FLEET_EWMA_WEIGHT * (server_state.other_load - self.mean_load)
@@ -695,14 +727,19 @@
     def start_attempt(self, request: InFlightRequest, server_state: ServerState) -> None:
         """Start an attempt that ends when its answer is worth nothing more; time the first one for being overdue."""
         request.start_attempt(server_state, self.now)
-        good = server_state.health.get(request.index, (1.0, 0.0))[0] >= GOOD_HEALTH
+        good = server_state.health.get(request.class_index, (1.0, 0.0))[0] >= GOOD_HEALTH
         # What a failing server is sent is no measure of what a warm one serves.
-        self.open, self.warm_sends = self.open + 1.0, self.warm_sends + (server_state.cold_since is None and good)
+        self.open_attempts, self.warm_sends = (
+            self.open_attempts + 1.0,
+            self.warm_sends + (server_state.cold_since is None and good),
+        )
         self.actions.append(request.send_action(self.now, WINDOW_MARGIN))
         if len(request.attempts) == 1:
-            overdue_ms = max(OVERDUE_MIN * request.kind.aim_ms, OVERDUE_LATENCIES * self.expected_ms(request))
+            overdue_ms = max(OVERDUE_MIN * request.request_class.aim_ms, OVERDUE_LATENCIES * self.expected_ms(request))
             self.actions.append(
-                api.SetTimer(min(OVERDUE_MAX * request.kind.aim_ms, overdue_ms), request.id + FIRST_REQUEST_TOKEN)
+                api.SetTimer(
+                    min(OVERDUE_MAX * request.request_class.aim_ms, overdue_ms), request.id + FIRST_REQUEST_TOKEN
+                )
             )
 
     def is_too_late(self, request: InFlightRequest) -> bool:
@@ -711,7 +748,7 @@
 
     def expected_ms(self, request: InFlightRequest) -> float:
         """Return the time in ms that a request should take on an ordinary server."""
-        return self.latency[request.kind] * max(0.1, request.units)
+        return self.latency_per_unit_ms[request.request_class] * max(0.1, request.units)
 
     def retry(self, request: InFlightRequest, cost: float) -> bool:
         """Start another attempt, if the rules, the retry budget and the time left allow it."""
@@ -732,7 +769,7 @@
         the same group as the first and the window of its key is still open.
         """
         request_class, first_server, repeat_by = (
-            request.kind,
+            request.request_class,
             request.first_run_server,
             request.repeat_deadline(WINDOW_MARGIN),
         )
@@ -749,8 +786,8 @@
 
         A refusal promises that a retry by the client is harmless, a failure promises nothing.
         """
-        keyed_everywhere = request.kind.effect is Effect.KEYED and request.kind.group == "all"
-        harmless = request.kind.effect is Effect.REPEATABLE or keyed_everywhere or request.never_ran
+        keyed_everywhere = request.request_class.effect is Effect.KEYED and request.request_class.group == "all"
+        harmless = request.request_class.effect is Effect.REPEATABLE or keyed_everywhere or request.never_ran
         refusal = api.Refuse(
             request.id, min(self.retry_delay_ms(request), self.settings.max_retry_after_ms), request.cause
         )
@@ -763,7 +800,7 @@
         Soon, if only the limit on concurrent attempts was in the way; otherwise as late as the settings allow.
         """
         if request.cause == "open" and not self.overloaded:
-            return max(MIN_RETRY_AFTER_MS, statistics.fmean(self.latency.values()))
+            return max(MIN_RETRY_AFTER_MS, statistics.fmean(self.latency_per_unit_ms.values()))
         return math.inf
 
     def end_request(self, event: api.Event) -> None:
@@ -773,10 +810,10 @@
             return
         streaming = event.attempt if isinstance(event, api.StreamStarted) else -1
         for index, attempt in enumerate(request.attempts):
-            if attempt.open and index != streaming and self.settings.cancel and not request.ended:
+            if attempt.is_open and index != streaming and self.settings.cancel and not request.ended:
                 self.actions.append(api.Cancel(request.id, index))
         request.ended = True
-        if not request.has_open:
+        if not request.has_open_attempt:
             del self.in_flight[request.id]
             self.refund(request)
 
@@ -795,18 +832,18 @@
             code = zlib.crc32(event.customer.encode())
             customer = Customer(plan, event.set_size, code, self.now, self.now - USAGE_REPORT_TTL_MS, event.set_first)
             reported_share = self.admit_shares.get(code, 100.0) / 100.0
-            customer.admit_share = reported_share if self.uses_counter or self.uses_meter else customer.even
+            customer.admit_share = reported_share if self.uses_counter or self.uses_meter else customer.even_share
             # If peers have been received for a while, the bucket is full less what they reported of the customer.
             if self.uses_peers:
                 peers_known = self.initial_fill.confirmed or self.now - self.started > USAGE_REPORT_TTL_MS
-                peers_known = peers_known and self.now - self.peer_news_at < USAGE_REPORT_TTL_MS
+                peers_known = peers_known and self.now - self.peer_message_at < USAGE_REPORT_TTL_MS
                 used = self.unknown_use.pop(code, [])
                 # In a large fleet an even share is less than one request: until reports come, no gateway could admit
                 # any. So the bucket counts from the start there, whether peers have been received or not.
                 left = replay(plan, used, self.now) if peers_known or self.is_large_fleet else 0.0
-                customer.shared_bucket = max(plan.burst * customer.even, left)
-            customer.cap = (
-                customer.even * plan.ceiling_rate * min(IDLE_CUSTOMER_TTL_MS, self.now - self.started) / 1000.0
+                customer.shared_bucket = max(plan.burst * customer.even_share, left)
+            customer.ceiling_bucket = (
+                customer.even_share * plan.ceiling_rate * min(IDLE_CUSTOMER_TTL_MS, self.now - self.started) / 1000.0
             )
             customer.owned_quota = self.quota_owner.account(customer, self.now) if self.quota_owner else None
             self.customers[event.customer] = self.by_code[code] = customer
@@ -814,10 +851,10 @@
         # If the bucket does not fill with time, or the customer comes too seldom for its rates to be known, each
         # request earns the admitted share of its units.
         if not self.fills_by_time(customer) or self.now - customer.seen_at > RATE_DECAY_MS:
-            capacity = max(event.units, plan.burst * customer.even)
+            capacity = max(event.units, plan.burst * customer.even_share)
             customer.bucket = min(capacity, customer.bucket + customer.admit_share * event.units)
         customer.record_demand(self.now, event.units, event.units * 1000.0 / RATE_DECAY_MS)
-        self.active[customer.code] = customer
+        self.active_customers[customer.code] = customer
         request_class = self.settings.classes[event.request_class]
         useful_ms = AIM_MARGIN * request_class.aim_ms if request_class.late_worth <= 0 else event.left_ms
         request = self.in_flight[event.request] = InFlightRequest(
@@ -834,18 +871,21 @@
         """
         customer, units = request.customer, request.units
         self.refill(customer)
-        cause = "ceiling" if customer.plan.ceiling_rate > 0 and customer.cap < units else ""
+        cause = "ceiling" if customer.plan.ceiling_rate > 0 and customer.ceiling_bucket < units else ""
         cause = cause or "cut" * (customer.throttle_rate > 0 and customer.throttle_bucket < units)
         cause = cause or "time" * self.is_too_late(request)
         confirmed = request.granted or (customer.admit_share > LIKELY_WITHIN_QUOTA and customer.use_known)
         # Needed only where the servers' limits begin at their minimum, so that cutting them cannot reduce the load.
         if self.initial_limit <= LIMIT_MIN:
-            earned = self.rate * (self.now - self.filled_at) / 1000.0
-            self.admit_tokens, self.filled_at = min(2.0 + 0.5 * self.rate, self.admit_tokens + earned), self.now
+            earned = self.admission_rate * (self.now - self.admit_tokens_at) / 1000.0
+            self.admit_tokens, self.admit_tokens_at = (
+                min(2.0 + 0.5 * self.admission_rate, self.admit_tokens + earned),
+                self.now,
+            )
             # Little's law: the number of running attempts shows a slow fleet before any answer does.
-            max_running = 1.0 + self.rate * CONCURRENCY_LATENCY * request.kind.aim_ms / 1000.0
+            max_running = 1.0 + self.admission_rate * CONCURRENCY_LATENCY * request.request_class.aim_ms / 1000.0
             cause = cause or "pace" * (
-                self.admit_tokens < (1.0 if confirmed else UNCONFIRMED_RESERVE) or self.open >= max_running
+                self.admit_tokens < (1.0 if confirmed else UNCONFIRMED_RESERVE) or self.open_attempts >= max_running
             )
         return cause
 
@@ -857,7 +897,9 @@
         """
         customer, units, request.cause = request.customer, request.units, self.refusal_cause(request)
         request.cause = request.cause or "quota" * (not self.within_quota(customer, units, request.granted))
-        request.cause = request.cause or "open" * (customer.plan.max_open > 0 and self.is_cap_likely_full(customer))
+        request.cause = request.cause or "open" * (
+            customer.plan.max_open > 0 and self.is_attempt_limit_likely_reached(customer)
+        )
         if request.cause == "open" and self.waiting_requests.try_add(request, self.now, self.expected_ms(request)):
             if not self.waiting_requests.recheck_scheduled:
                 self.waiting_requests.recheck_scheduled = True
@@ -870,7 +912,7 @@
         self.admit_tokens, self.admitted = self.admit_tokens - 1.0, self.admitted + 1.0
         request.take_tokens(units * 1000.0 / RATE_DECAY_MS)
         if self.uses_peers:
-            self.unsent[customer.code] = self.unsent.get(customer.code, 0.0) + units
+            self.unsent_units[customer.code] = self.unsent_units.get(customer.code, 0.0) + units
         self.retry_budget = min(RETRY_BUDGET_MAX, self.retry_budget + RETRY_BUDGET_PER_REQUEST)
         self.start_attempt(request, server_state)
         self.report_attempts(customer)
@@ -883,20 +925,20 @@
     def on_outcome(self, event: api.Outcome) -> None:
         """Record the end of an attempt, learn from it, and answer or retry if the request is still unanswered."""
         request = self.in_flight.get(event.request)
-        if request is None or event.attempt >= len(request.attempts) or not request.attempts[event.attempt].open:
+        if request is None or event.attempt >= len(request.attempts) or not request.attempts[event.attempt].is_open:
             return
         attempt, customer = request.attempts[event.attempt], request.customer
         ran = request.finish_attempt(attempt, self.now, event.ending)
         cost = retry_cost(event, ran, self.expected_ms(request))
-        self.open -= 1.0
+        self.open_attempts -= 1.0
         self.learn_from_outcome(attempt.target, event, request)
-        if event.used is not None and self.now - customer.others_at > self.settings.meter_ms / 2:
+        if event.used is not None and self.now - customer.others_reported_at > self.settings.meter_ms / 2:
             self.record_metered_usage(customer, event.used)
         if event.actual_units is not None and self.settings.cost_after:
             customer.take_tokens(event.actual_units - request.units, event.actual_units - request.units)
         if request.ended or event.finished:
             self.end_request(event)
-        elif not request.has_open and not self.retry(request, cost):
+        elif not request.has_open_attempt and not self.retry(request, cost):
             self.answer_unserved(request)
         self.admit_waiting(customer)
         self.report_attempts(customer)
@@ -909,13 +951,15 @@
         elif event.token == 1:
             # A random period, so that gateways do not send in step.
             self.actions.append(api.SetTimer(self.gossip_interval_ms * (0.5 + self.random.random()), 1))
-            self.unsent_open = self.open_counts | self.unsent_open
-            self.unsent |= self.initial_fill.age_entry(self.now - self.started)
-            if (self.unsent or self.unsent_open) and self.now - self.broadcast_at >= self.attempt_report_interval_ms:
+            self.unsent_open_attempts = self.open_attempt_counts | self.unsent_open_attempts
+            self.unsent_units |= self.initial_fill.age_entry(self.now - self.started)
+            if (
+                self.unsent_units or self.unsent_open_attempts
+            ) and self.now - self.broadcast_at >= self.attempt_report_interval_ms:
                 self.broadcast()
         elif event.token == 3:
             self.broadcast_due = False
-            if self.unsent_open:
+            if self.unsent_open_attempts:
                 self.broadcast()
         elif event.token == 4:
             self.admit_waiting(None)
@@ -923,7 +967,10 @@
             self.actions.append(api.Subscribe())
         elif request is not None and not request.ended and len(request.attempts) == 1 and self.stall_at < self.now:
             # Overdue. No second copy is sent, since it would only add to the load.
-            request.overdue, lateness = True, (self.now - request.attempts[0].sent) / request.kind.aim_ms
+            request.overdue, lateness = True, (self.now - request.attempts[0].sent_at) / request.request_class.aim_ms
             if request.attempts[0].target.cold_since is None:
-                self.delays = [*self.delays[1 - LATENCY_SAMPLES :], lateness]  # its latency will be at least this
+                self.normalized_latencies = [
+                    *self.normalized_latencies[1 - LATENCY_SAMPLES :],
+                    lateness,
+                ]  # its latency will be at least this
             self.record_health(request.attempts[0].target, request, False)
--- a/petrelhall/decide/replan.py
+++ b/petrelhall/decide/replan.py
@@ -22,9 +22,11 @@
             continue
         old, plan = customer.plan, after[index]
         customer.plan = plan
-        customer.bucket = min(customer.bucket, max(1.0, plan.burst * customer.even))
+        customer.bucket = min(customer.bucket, max(1.0, plan.burst * customer.even_share))
         customer.shared_bucket = min(customer.shared_bucket, plan.burst)
-        customer.cap = min(customer.cap, plan.ceiling_burst * customer.even) if old.ceiling_rate > 0.0 else 0.0
+        customer.ceiling_bucket = (
+            min(customer.ceiling_bucket, plan.ceiling_burst * customer.even_share) if old.ceiling_rate > 0.0 else 0.0
+        )
         customer.overflow = 0.0
         if state.quota_owner is not None:
             customer.owned_quota = state.quota_owner.account(customer, now)
--- a/petrelhall/decide/slowstart.py
+++ b/petrelhall/decide/slowstart.py
@@ -18,7 +18,7 @@
 COLD_MIN_RATE = 0.5  # requests/s to a cold server from all gateways together while no rate of a warm one is known
 
 
-def cold_start_share(link: ServerState, now: float, settings: Settings, warm_rate: float) -> float:
+def cold_start_share(server_state: ServerState, now: float, settings: Settings, warm_rate: float) -> float:
     """Return the share of a warm server's work that this server can do now, or 0 if its allowance is used up.
 
     ``warm_rate`` is what this gateway sends to a warm server, in attempts per second.
@@ -27,14 +27,14 @@
     the attempts saved by 200 gateways that had nothing to send would all be made at once as soon as they have
     something. Turns follow from the gateway's number, so that few gateways have one at the same time.
     """
-    age = (now - (link.cold_since or 0.0)) / max(1.0, settings.cold_ms)
-    if link.cold_since is None or age >= 1.0:
-        link.cold_since = None
+    age = (now - (server_state.cold_since or 0.0)) / max(1.0, settings.cold_ms)
+    if server_state.cold_since is None or age >= 1.0:
+        server_state.cold_since = None
         return 1.0
     ramp = settings.cold_from + (1.0 - settings.cold_from) * max(0.0, age)
     share = ramp * max(1.0, COLD_LOAD_SHARE * settings.overload_factor)
     rate_per_ms = share * max(COLD_MIN_RATE / settings.gateways, warm_rate) / 1000.0
-    allowance = link.cold_tokens + rate_per_ms * (now - link.cold_tokens_at)
+    allowance = server_state.cold_tokens + rate_per_ms * (now - server_state.cold_tokens_at)
     fleet_attempts = rate_per_ms * settings.gateways * settings.fall_ms
     turn = (1.0 + UNUSED_SHARE * fleet_attempts + UNUSED_ROOT_FACTOR * math.sqrt(fleet_attempts)) / settings.gateways
     if turn >= 1.0:
@@ -42,7 +42,7 @@
     elif allowance >= 1.0 + turn:  # one or more turns have passed unused
         allowance %= 1.0
         allowance += allowance < turn
-    link.cold_tokens, link.cold_tokens_at = allowance, now
+    server_state.cold_tokens, server_state.cold_tokens_at = allowance, now
     return ramp if allowance >= 1.0 else 0.0
 
 
--- a/petrelhall/decide/snapshot.py
+++ b/petrelhall/decide/snapshot.py
@@ -22,13 +22,13 @@
     "set_size",
     "set_first",
     "seen_at",
-    "others_at",
-    "filled_at",
+    "others_reported_at",
+    "refilled_at",
     "bucket",
     "shared_bucket",
     "overflow",
     "admit_share",
-    "cap",
+    "ceiling_bucket",
     "demand",
     "sent_rate",
     "others_rate",
@@ -46,9 +46,9 @@
     "other_load",
     "reported_at",
     "slowness",
-    "delay",
+    "normalized_latency",
     "measured_at",
-    "sent",
+    "last_sent_at",
     "answer_at",
     "ejected_until",
     "down_at",
@@ -56,16 +56,16 @@
 )
 GATEWAY_FIELDS = (
     "started",
-    "peer_news_at",
-    "ask_share",
-    "reply_at",
-    "no_reply_at",
+    "peer_message_at",
+    "counter_sampling_share",
+    "counter_reply_at",
+    "counter_failure_at",
     "warm_rate",
     "mean_load",
     "retry_budget",
-    "rate",
+    "admission_rate",
     "admit_tokens",
-    "filled_at",
+    "admit_tokens_at",
     "avg_admitted",
 )
 INTEGER_FIELDS = {"set_size", "set_first"}  # set by the constructor of Customer
@@ -93,15 +93,15 @@
         "memory": read_fields(state, GATEWAY_FIELDS),
         "latency": latency,
         "faults": faults,
-        "waits": state.delays,
+        "waits": state.normalized_latencies,
         "customers": {
             name: [
                 plans[id(customer.plan)],
                 *read_fields(customer, CUSTOMER_FIELDS),
                 customer.use_known,
-                customer.total_name,
-                customer.open,
-                [[peer, count, at] for peer, (count, at) in customer.peers_open.items()],
+                customer.counter_total_name,
+                customer.open_attempts,
+                [[peer, count, at] for peer, (count, at) in customer.peer_open_attempts.items()],
             ]
             for name, customer in latest
             if id(customer.plan) in plans
@@ -153,7 +153,7 @@
         customer.owned_quota = state.quota_owner.account(customer, now) if state.quota_owner is not None else None
     for name, value in zip(GATEWAY_FIELDS, gateway_values, strict=True):
         setattr(state, name, value)
-    state.delays, state.admit_shares = delays, admit_shares
+    state.normalized_latencies, state.admit_shares = delays, admit_shares
     state.unknown_use = {code: [(at, units) for at, units in used] for code, used in unknown_use.items()}
     for address, (values, ejections, health) in servers.items():
         server = state.servers[address]
@@ -166,7 +166,7 @@
 def parse_customer(settings: Settings, code: int, values: Any, now: float) -> Customer:
     """Return a customer from its stored list."""
     plan = values[0]
-    use_known, total_name, open_attempts, peers_open = values[-4:]
+    use_known, counter_total_name, open_attempts, peer_open_attempts = values[-4:]
     if not 0 <= plan < len(settings.plans):
         raise SnapshotError(f"unknown plan {plan}")
     numbers = dict(zip(CUSTOMER_FIELDS, parse_numbers(values[1:-4], len(CUSTOMER_FIELDS)), strict=True))
@@ -175,16 +175,18 @@
         int(numbers["set_size"]),
         code,
         numbers["seen_at"],
-        numbers["others_at"],
+        numbers["others_reported_at"],
         int(numbers["set_first"]),
     )
     for name, value in numbers.items():
         if name not in INTEGER_FIELDS:
             setattr(customer, name, value)
-    customer.use_known, customer.total_name = bool(use_known), int(total_name)
-    customer.peers_open = {int(peer): (parse_number(count), parse_number(at)) for peer, count, at in peers_open}
+    customer.use_known, customer.counter_total_name = bool(use_known), int(counter_total_name)
+    customer.peer_open_attempts = {
+        int(peer): (parse_number(count), parse_number(at)) for peer, count, at in peer_open_attempts
+    }
     if open_attempts:
-        customer.peers_open[settings.position] = parse_number(open_attempts), now
+        customer.peer_open_attempts[settings.position] = parse_number(open_attempts), now
     return customer
 
 
--- a/petrelhall/decide/state.py
+++ b/petrelhall/decide/state.py
@@ -44,16 +44,16 @@
     set_size: int  # number of gateways that the customer uses
     code: int  # identifies the customer in messages to peers and at the shared counter
     seen_at: float
-    others_at: float  # when use through other gateways was last reported
+    others_reported_at: float  # when use through other gateways was last reported
     set_first: int = 0  # number of the first gateway that it uses
-    even: float = 1.0  # an even share: one over the number of gateways that it uses
-    filled_at: float = 0.0  # when the buckets were last brought up to date
+    even_share: float = 1.0  # an even share: one over the number of gateways that it uses
+    refilled_at: float = 0.0  # when the buckets were last brought up to date
     bucket: float = 0.0  # local token bucket; begins with the even share of the burst
     shared_bucket: float = 0.0  # estimate of the quota's whole bucket, over all gateways
     use_known: bool = False  # whether its use over all gateways was ever reported
     overflow: float = 0.0  # tokens that the full shared bucket has discarded since the last report
     admit_share: float = 1.0  # estimated share of its demand that the quota covers
-    cap: float = 0.0  # token bucket of this gateway's part of the ceiling
+    ceiling_bucket: float = 0.0  # token bucket of this gateway's part of the ceiling
     demand: float = 0.0  # recent rate of requests
     sent_rate: float = 0.0  # recent rate sent on to servers by this gateway
     others_rate: float = 0.0  # recent rate sent on by other gateways
@@ -61,13 +61,15 @@
     counter_total: float = 0.0  # last total that the shared counter returned
     counter_level: float = 0.0  # tokens in the bucket on the shared counter at ``counter_level_at``
     counter_level_at: float = -math.inf
-    correction: float = 0.0  # units to add to the amount of the next counter call
-    total_name: int = -1  # counter name that ``counter_total`` was read from
-    open: int = 0  # attempts without an outcome yet
+    counter_correction: float = 0.0  # units to add to the amount of the next counter call
+    counter_total_name: int = -1  # counter name that ``counter_total`` was read from
+    open_attempts: int = 0  # attempts without an outcome yet
     owned_quota: OwnedQuota | None = None  # where set, it decides in place of the buckets above
-    peers_open: dict[int, tuple[float, float]] = field(default_factory=dict)  # by peer: open attempts, when reported
+    peer_open_attempts: dict[int, tuple[float, float]] = field(
+        default_factory=dict
+    )  # by peer: open attempts, when reported
     samples: list[tuple[float, float]] = field(default_factory=list)  # units and pressure of recent intervals
-    flags: int = 0  # consecutive intervals in which its use correlated with pressure
+    consecutive_flags: int = 0  # consecutive intervals in which its use correlated with pressure
     throttle_rate: float = 0.0  # 0 while the customer is not throttled
     throttle_bucket: float = 0.0
 
@@ -76,20 +78,20 @@
 
         The ceiling's bucket stays empty: a restarted gateway must assume that its part has been spent.
         """
-        self.even, self.filled_at = 1.0 / max(1, self.set_size), self.seen_at
-        self.bucket, self.shared_bucket = self.plan.burst * self.even, self.plan.burst
+        self.even_share, self.refilled_at = 1.0 / max(1, self.set_size), self.seen_at
+        self.bucket, self.shared_bucket = self.plan.burst * self.even_share, self.plan.burst
 
-    def add_tokens(self, elapsed: float, shared_rate: float, cap_rate: float, cap_most: float) -> None:
+    def add_tokens(self, elapsed: float, shared_rate: float, ceiling_rate: float, ceiling_max: float) -> None:
         """Add the tokens of ``elapsed`` seconds to the buckets; an owned quota replaces their contents."""
         shared = self.shared_bucket + shared_rate * elapsed
         self.shared_bucket = min(self.plan.burst, shared)
         self.overflow += shared - self.shared_bucket
-        self.cap = min(cap_most, self.cap + cap_rate * elapsed)
+        self.ceiling_bucket = min(ceiling_max, self.ceiling_bucket + ceiling_rate * elapsed)
         if self.owned_quota is not None:
-            units, cap = self.owned_quota.available(self.filled_at)
+            units, ceiling_units = self.owned_quota.available(self.refilled_at)
             if units < math.inf:
                 self.bucket = self.shared_bucket = units
-            self.cap = cap if cap < math.inf else self.cap
+            self.ceiling_bucket = ceiling_units if ceiling_units < math.inf else self.ceiling_bucket
         self.throttle_bucket = min(1.0 + self.throttle_rate, self.throttle_bucket + self.throttle_rate * elapsed)
 
     def decay_rates(self, factor: float, others: bool) -> None:
@@ -114,14 +116,14 @@
 
     def record_sent(self, units: float, rate: float) -> None:
         """Deduct units that are sent on to a server from all buckets but the quota's."""
-        self.cap, self.throttle_bucket = self.cap - units, self.throttle_bucket - units
+        self.ceiling_bucket, self.throttle_bucket = self.ceiling_bucket - units, self.throttle_bucket - units
         self.sent_rate += rate
         if self.owned_quota is not None:
-            self.owned_quota.spend(self.filled_at, units)
+            self.owned_quota.spend(self.refilled_at, units)
 
     def stop_tracking(self) -> None:
         """Discard the samples of the correlation test and lift the throttle that followed from them."""
-        self.samples, self.flags, self.throttle_rate = [], 0, 0.0
+        self.samples, self.consecutive_flags, self.throttle_rate = [], 0, 0.0
 
     def take_tokens(self, bucket: float, shared: float) -> None:
         """Deduct units from the quota's local and shared buckets."""
@@ -137,13 +139,13 @@
     cold_tokens: float  # attempts that may be sent to the server while it is cold
     cold_tokens_at: float  # when ``cold_tokens`` was last brought up to date
     limit_cut_at: float = 0.0  # when the limit was last reduced
-    open: float = 0.0  # attempts of this gateway without an outcome yet
+    open_attempts: float = 0.0  # attempts of this gateway without an outcome yet
     other_load: float = 0.0  # requests of other gateways, from the server's last load report
     reported_at: float = 0.0
     slowness: float = 1.0  # smoothed latency over the fleet's
-    delay: float = 0.0  # smoothed latency over the aim of the request's class
+    normalized_latency: float = 0.0  # smoothed latency over the aim of the request's class
     measured_at: float = 0.0
-    sent: float = 0.0  # when the last attempt was sent; 0 if none was
+    last_sent_at: float = 0.0  # when the last attempt was sent; 0 if none was
     answer_at: float = 0.0  # when the last outcome came, or the first attempt was sent after a time with none open
     resets: int = 0  # consecutive connection resets
     ejections: int = 0  # consecutive ejections as an outlier
@@ -158,8 +160,8 @@
     """One attempt to have a request served."""
 
     target: ServerState
-    sent: float
-    open: bool = True
+    sent_at: float
+    is_open: bool = True
 
 
 @dataclass(eq=False)
@@ -167,12 +169,12 @@
     """A request that is owed a final answer until ``ended`` is set."""
 
     arrival: Arrival
-    kind: RequestClass
+    request_class: RequestClass
     customer: Customer
     accepted_at: float
     useful_ms: float  # after this time an answer is worth nothing
     attempts: list[Attempt] = field(default_factory=list)
-    counted: float = 0.0  # units added to the shared counter for it
+    counted_units: float = 0.0  # units added to the shared counter for it
     granted: bool | None = None  # verdict of the bucket on the shared counter; None: not asked
     first_run_at: float = math.inf  # when the earliest attempt that may have run was sent
     first_run_server: Server | None = None
@@ -188,9 +190,12 @@
 
         Each one counts as open at its server, later ones of the same request too, since each outcome is recorded.
         """
-        self.customer.open += not self.has_open
-        server.cold_tokens, server.sent = server.cold_tokens - (server.cold_since is not None), now
-        server.open, server.answer_at = server.open + 1.0, server.answer_at if server.open else now
+        self.customer.open_attempts += not self.has_open_attempt
+        server.cold_tokens, server.last_sent_at = server.cold_tokens - (server.cold_since is not None), now
+        server.open_attempts, server.answer_at = (
+            server.open_attempts + 1.0,
+            server.answer_at if server.open_attempts else now,
+        )
         self.attempts.append(Attempt(server, now))
 
     def take_tokens(self, rate: float) -> None:
@@ -203,11 +208,11 @@
         """Record the outcome of an attempt, and return whether it may have run on the server."""
         ran = ending not in (Ending.FULL, Ending.CONNECT_FAILED, Ending.MOOT)
         self.reached_server |= ending is not Ending.MOOT
-        attempt.open = False
-        attempt.target.open, attempt.target.answer_at = attempt.target.open - 1.0, now
-        self.customer.open -= not self.has_open
-        if ran and attempt.sent < self.first_run_at:
-            self.first_run_at, self.first_run_server = attempt.sent, attempt.target.server
+        attempt.is_open = False
+        attempt.target.open_attempts, attempt.target.answer_at = attempt.target.open_attempts - 1.0, now
+        self.customer.open_attempts -= not self.has_open_attempt
+        if ran and attempt.sent_at < self.first_run_at:
+            self.first_run_at, self.first_run_server = attempt.sent_at, attempt.target.server
         return ran
 
     def send_action(self, now: float, margin: float) -> Send:
@@ -215,7 +220,7 @@
 
         Unless the class is repeatable, a repeat must be written within a share ``margin`` of the class's window.
         """
-        write_by = math.inf if self.kind.effect is Effect.REPEATABLE else self.repeat_deadline(margin)
+        write_by = math.inf if self.request_class.effect is Effect.REPEATABLE else self.repeat_deadline(margin)
         address = self.attempts[-1].target.server.address
         return Send(self.id, address, max(1.0, self.useful_until - now), write_by)
 
@@ -224,17 +229,17 @@
 
         Infinite if no attempt can have run.
         """
-        return self.first_run_at + margin * self.kind.window_ms
+        return self.first_run_at + margin * self.request_class.window_ms
 
     @property
-    def index(self) -> int:
+    def class_index(self) -> int:
         """Index of the request's class in the settings."""
         return self.arrival.request_class
 
     @property
     def aim_at(self) -> float:
         """When the class's latency aim is missed."""
-        return self.accepted_at + self.kind.aim_ms
+        return self.accepted_at + self.request_class.aim_ms
 
     @property
     def deadline(self) -> float:
@@ -257,14 +262,14 @@
         return self.arrival.units
 
     @property
-    def has_open(self) -> bool:
+    def has_open_attempt(self) -> bool:
         """Whether an attempt has no outcome yet."""
-        return any(attempt.open for attempt in self.attempts)
+        return any(attempt.is_open for attempt in self.attempts)
 
     @property
     def never_ran(self) -> bool:
         """Whether it is certain that no attempt so far has run on a server."""
-        return self.first_run_at == math.inf and not self.has_open
+        return self.first_run_at == math.inf and not self.has_open_attempt
 
 
 # A call of the shared counter: amount, request, time of the call, and the total that it corrects (None: an ordinary
@@ -282,11 +287,15 @@
     actions: list[Action] = field(default_factory=list)
     customers: dict[str, Customer] = field(default_factory=dict)
     by_code: dict[int, Customer] = field(default_factory=dict)
-    tracked: dict[int, Customer] = field(default_factory=dict)  # by code: the busiest, tested for correlation
-    active: dict[int, Customer] = field(default_factory=dict)  # by code: those seen in the current interval
-    unsent: dict[int, float] = field(default_factory=dict)  # by code: units not yet reported to peers
-    unsent_open: dict[int, int] = field(default_factory=dict)  # by code: open attempts not yet reported to peers
-    open_counts: dict[int, int] = field(default_factory=dict)  # by code: open attempts of customers with a cap on them
+    tracked_customers: dict[int, Customer] = field(default_factory=dict)  # by code: the busiest, tested for correlation
+    active_customers: dict[int, Customer] = field(default_factory=dict)  # by code: those seen in the current interval
+    unsent_units: dict[int, float] = field(default_factory=dict)  # by code: units not yet reported to peers
+    unsent_open_attempts: dict[int, int] = field(
+        default_factory=dict
+    )  # by code: open attempts not yet reported to peers
+    open_attempt_counts: dict[int, int] = field(
+        default_factory=dict
+    )  # by code: open attempts of customers with a cap on them
     # By code: sum of all half units ever reported of a customer, modulo 256.
     sent_sums: dict[int, int] = field(default_factory=dict)
     received_sums: dict[tuple[int, int], int] = field(default_factory=dict)  # by peer and code: sums that peers sent
@@ -296,33 +305,33 @@
     unknown_use: dict[int, list[tuple[float, float]]] = field(default_factory=dict)
     set_message_tokens: float = 0.0  # messages to single peers that may be sent
     set_message_tokens_at: float = 0.0  # when ``set_message_tokens`` was last brought up to date
-    peer_news_at: float = -math.inf  # when a peer's message last arrived
+    peer_message_at: float = -math.inf  # when a peer's message last arrived
     servers: dict[str, ServerState] = field(default_factory=dict)
     in_flight: dict[int, InFlightRequest] = field(default_factory=dict)
-    ask_share: float = 1.0  # share of requests for which the shared counter is called
-    reply_at: float = -math.inf  # when a counter call last succeeded
-    no_reply_at: float = -math.inf  # when a counter call last failed
+    counter_sampling_share: float = 1.0  # share of requests for which the shared counter is called
+    counter_reply_at: float = -math.inf  # when a counter call last succeeded
+    counter_failure_at: float = -math.inf  # when a counter call last failed
     pending_calls: dict[int, deque[CounterCall]] = field(default_factory=dict)  # by counter name
-    delays: list[float] = field(default_factory=list)  # latency over aim of the latest answers
+    normalized_latencies: list[float] = field(default_factory=list)  # latency over aim of the latest answers
     admit_shares: dict[int, float] = field(default_factory=dict)  # by code: percent of demand to admit
     warm_rate: float = 0.0  # attempts/s to one warm server
     warm_sends: float = 0.0  # this and the next four are sums over the current interval
-    delay_sum: float = 0.0  # latency over aim of served attempts
-    served: float = 0.0
-    overloads: float = 0.0  # attempts that timed out or met a full server
-    ends: float = 0.0  # attempts that ended, unless cancelled or never made
+    normalized_latency_sum: float = 0.0  # latency over aim of served attempts
+    served_attempts: float = 0.0
+    overload_outcomes: float = 0.0  # attempts that timed out or met a full server
+    ended_attempts: float = 0.0  # attempts that ended, unless cancelled or never made
     retry_budget: float = 0.0
     overloaded: bool = False
     interval_due: float = math.inf
     stall_at: float = -math.inf  # when this process last found that it had not run for a while
     mean_load: float = 0.0  # typical number of other gateways' requests at a server
-    healthy: list[ServerState] = field(default_factory=list)  # servers that discovery lists as healthy
+    healthy_servers: list[ServerState] = field(default_factory=list)  # servers that discovery lists as healthy
     all_slow: bool = False  # whether the fleet as a whole is slow
-    rate: float = math.inf  # admission rate: requests/s that this gateway lets in
-    initial_rate: float = math.inf  # admission rate while nothing is known of the fleet
+    admission_rate: float = math.inf  # admission rate: requests/s that this gateway lets in
+    initial_admission_rate: float = math.inf  # admission rate while nothing is known of the fleet
     admit_tokens: float = 2.0  # token bucket of the admission rate
-    filled_at: float = 0.0  # when ``admit_tokens`` was last brought up to date
-    open: float = 0.0  # open attempts at all servers
+    admit_tokens_at: float = 0.0  # when ``admit_tokens`` was last brought up to date
+    open_attempts: float = 0.0  # open attempts at all servers
     admitted: float = 0.0  # requests let in during the current interval
     avg_admitted: float = 0.0  # smoothed number of requests let in an interval
 
@@ -353,18 +362,18 @@
         never reported.
         """
         customer = request.customer
-        if request.reached_server or request.has_open:
+        if request.reached_server or request.has_open_attempt:
             return
         if request.granted:
-            customer.correction -= request.counted
+            customer.counter_correction -= request.counted_units
         if request.attempts:
             customer.take_tokens(-request.drawn_units[0], -request.drawn_units[1])
-            customer.shared_bucket, customer.cap = (
+            customer.shared_bucket, customer.ceiling_bucket = (
                 min(customer.plan.burst, customer.shared_bucket),
-                customer.cap + request.units,
+                customer.ceiling_bucket + request.units,
             )
-            if customer.code in self.unsent:
-                self.unsent[customer.code] = max(0.0, self.unsent[customer.code] - request.units)
+            if customer.code in self.unsent_units:
+                self.unsent_units[customer.code] = max(0.0, self.unsent_units[customer.code] - request.units)
 
     def set_admit_share(self, code: int, percent: float, most: int) -> None:
         """Keep the percentage of a customer's demand to admit, also for one not known here yet.
@@ -384,9 +393,9 @@
                 self.unknown_use[code] = [entry for entry in used if entry[0] >= before]
                 if not self.unknown_use[code]:
                     del self.unknown_use[code]
-        for name in [n for n, c in self.customers.items() if c.seen_at < before and not c.open]:
+        for name in [n for n, c in self.customers.items() if c.seen_at < before and not c.open_attempts]:
             code = self.customers.pop(name).code
-            self.tracked.pop(code, None)
+            self.tracked_customers.pop(code, None)
             self.by_code.pop(code, None)
 
 
--- a/petrelhall/decide/waiting.py
+++ b/petrelhall/decide/waiting.py
@@ -25,7 +25,7 @@
 
     def try_add(self, request: InFlightRequest, now: float, expected_ms: float) -> bool:
         """Add a request if it may still wait and enough places will come free in time for it and those before it."""
-        max_wait_ms = MAX_WAIT_SHARE * min(request.kind.aim_ms, request.arrival.left_ms)
+        max_wait_ms = MAX_WAIT_SHARE * min(request.request_class.aim_ms, request.arrival.left_ms)
         places = request.customer.plan.max_open * max_wait_ms / max(1.0, expected_ms)
         before = sum(other.customer is request.customer for other in self.values())
         if now >= request.accepted_at + max_wait_ms or request.attempts or before >= places:
--- a/petrelhall/gateway/program.py
+++ b/petrelhall/gateway/program.py
@@ -429,7 +429,7 @@
             latency, faults = snapshot.restore(self.module, self.config.settings, data, now_ms())
         except snapshot.SnapshotError as error:
             return self.log.write(f"ignoring the snapshot of the process being replaced: {error}")
-        self.module.latency = dict(zip(self.config.settings.classes, latency, strict=True))
+        self.module.latency_per_unit_ms = dict(zip(self.config.settings.classes, latency, strict=True))
         self.module.failure_rates = faults
         replan(self.module, self.config.settings.plans, self.module.settings.plans, now_ms())
         self.log.write(
@@ -443,7 +443,7 @@
         return snapshot.take(
             self.module,
             self.config.settings,
-            [self.module.latency[request_class] for request_class in classes],
+            [self.module.latency_per_unit_ms[request_class] for request_class in classes],
             self.module.failure_rates,
             self.module.settings.plans,
         )
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -1031,7 +1031,7 @@
             self.assertEqual((customer.plan, min(customer.shared_bucket, kept)), (after[0], left))
         ceiled = (dataclasses.replace(before[0], ceiling_rate=100.0, ceiling_burst=100.0), before[1])
         replan(module, before, ceiled, 30.0)
-        self.assertEqual(customer.cap, 0.0)  # a ceiling that was not there begins spent
+        self.assertEqual(customer.ceiling_bucket, 0.0)  # a ceiling that was not there begins spent
         share = Share(Terms(40.0, 60.0, 4), -1e6, 0.0)
         for burst, left in ((20.0, 5.0), (80.0, 5.0)):
             share.change(Terms(40.0, burst, 4), 0.0)
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -29,7 +29,10 @@
     """Take a snapshot and pass it through the encoding of a handover file."""
     gateway = harness.gateway
     content = snapshot.take(
-        gateway, gateway.settings, [gateway.latency[kind] for kind in gateway.settings.classes], gateway.failure_rates
+        gateway,
+        gateway.settings,
+        [gateway.latency_per_unit_ms[kind] for kind in gateway.settings.classes],
+        gateway.failure_rates,
     )
     return handed(letter(7, content), 7)
 
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -382,7 +382,7 @@
 
         made.request_handler.tell.__self__.handle_request_action = crossing
         self.turn_until(lambda: self.counts.get("answered", "client_left"))
-        self.assertEqual((module.in_flight, module.open, module.servers["s0"].open), ({}, 0.0, 0.0))
+        self.assertEqual((module.in_flight, module.open_attempts, module.servers["s0"].open_attempts), ({}, 0.0, 0.0))
         self.assertAlmostEqual(module.customers["00000000b4d65521"].shared_bucket, 1000.0, places=0)
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -67,11 +67,11 @@
     harness = GatewayHarness()
     for units, pressure in samples:
         customer = harness.gateway.customers.get("a") or harness.add_customer("a")
-        harness.gateway.tracked = {customer.code: customer}
+        harness.gateway.tracked_customers = {customer.code: customer}
         customer.interval_units = units
-        harness.gateway.delay_sum, harness.gateway.served = pressure, 1.0
+        harness.gateway.normalized_latency_sum, harness.gateway.served_attempts = pressure, 1.0
         harness.feed(Alarm(0))
-    return customer.flags > 0
+    return customer.consecutive_flags > 0
 
 
 class GatewayHarness:
@@ -397,7 +397,7 @@
             retried += len(retry_sends)
             if retry_sends:
                 harness.report_outcome(retry_sends[0], Ending.OK, attempt=1)
-            harness.gateway.latency = {request_class: 200.0 for request_class in SETTINGS.classes}
+            harness.gateway.latency_per_unit_ms = {request_class: 200.0 for request_class in SETTINGS.classes}
         assert retried == retries, ending
 
 
@@ -509,7 +509,7 @@
     gateway, code = harness.gateway, zlib.crc32(b"a")
     gateway.actions.clear()
     for _ in range(9):
-        gateway.unsent[code] = 2.0
+        gateway.unsent_units[code] = 2.0
         gateway.send_to_customer_gateways(gateway.customers["a"])
     messages = [a for a in gateway.actions if isinstance(a, Tell)]
     # The budget of one second is 75 messages: they are used as far as whole sets of gateways fit in.
@@ -542,19 +542,19 @@
         (0.2 * harness.gateway.gossip_interval_ms, False),
     ):
         harness.now += elapsed_ms
-        harness.gateway.now = harness.gateway.peer_news_at = harness.now
-        assert harness.gateway.is_cap_likely_full(customer) == full
+        harness.gateway.now = harness.gateway.peer_message_at = harness.now
+        assert harness.gateway.is_attempt_limit_likely_reached(customer) == full
 
 
 def test_idle_gateway_keeps_its_initial_admission_rate() -> None:
     """The few requests that a new gateway has admitted must not bound its rate."""
     harness = GatewayHarness(LARGE_FLEET, SIXTY_SERVERS)
-    initial_rate = harness.gateway.rate
+    initial_rate = harness.gateway.admission_rate
     assert initial_rate == pytest.approx(policy.LIMIT_START * 60 / 40)
     for _ in range(3):
         harness.now += 1000
         harness.feed(Alarm(0))
-        assert harness.gateway.rate == pytest.approx(initial_rate)
+        assert harness.gateway.admission_rate == pytest.approx(initial_rate)
 
 
 def test_server_without_recent_report_is_assumed_to_have_average_load_and_a_cold_one_none() -> None:
@@ -565,7 +565,7 @@
         gateway.mean_load, gateway.warm_rate = 8.0, 1000.0
         reported, unreported = gateway.servers["reported"], gateway.servers["unreported"]
         reported.other_load, reported.reported_at, unreported.cold_tokens = 4.0, harness.now, 1.0
-        reported.sent = unreported.sent = 1.0
+        reported.last_sent_at = unreported.last_sent_at = 1.0
         picked = harness.submit()
         assert isinstance(picked, Send)
         return {picked.server}
@@ -593,9 +593,9 @@
     for handshake_price, uses_unconnected in ((0.0, True), (0.08, False)):
         harness = GatewayHarness(replace(SETTINGS, handshake_price=handshake_price), SIXTY_SERVERS)
         for server_state in harness.gateway.servers.values():
-            server_state.sent = float(server_state.server.address == "s0")
+            server_state.last_sent_at = float(server_state.server.address == "s0")
         harness.gateway.servers["s0"].other_load, harness.gateway.servers["s0"].reported_at = 0.5, harness.now
-        harness.gateway.healthy = [harness.gateway.servers["s0"], harness.gateway.servers["s1"]]
+        harness.gateway.healthy_servers = [harness.gateway.servers["s0"], harness.gateway.servers["s1"]]
         picked = harness.submit()
         assert isinstance(picked, Send) and (picked.server == "s1") == uses_unconnected
 
@@ -604,17 +604,17 @@
     harness = GatewayHarness(replace(LARGE_FLEET, plans=(Plan(rate=100, burst=100, max_open=4),)), SIXTY_SERVERS)
     customer = harness.add_customer("a")
     harness.gateway.now = harness.now = harness.now + 3500
-    harness.gateway.peer_news_at = harness.now
-    customer.open = 3
+    harness.gateway.peer_message_at = harness.now
+    customer.open_attempts = 3
     for peer_rate, full in ((2.0, False), (5.0, True)):  # the chance that peers have started one since: 6% and 14%
         customer.others_rate = peer_rate
-        assert harness.gateway.is_cap_likely_full(customer) == full
+        assert harness.gateway.is_attempt_limit_likely_reached(customer) == full
 
 
 def test_fleet_counts_as_slow_above_a_median_of_two_fifths_of_the_target_latency() -> None:
     for lateness, slow in ((0.3, False), (0.5, True)):
         harness = GatewayHarness()
-        harness.gateway.delays = [lateness] * 9
+        harness.gateway.normalized_latencies = [lateness] * 9
         harness.feed(Alarm(0))
         assert harness.gateway.all_slow == slow
 
@@ -654,10 +654,10 @@
     pending = harness.feed(Arrival(1, 0, 0, "a", 3000, 1, 30))
     name = next(a.name for a in pending if isinstance(a, CounterAdd))
     level = 4 + harness.now % policy.COUNTER_NAME_TTL_MS / 1000  # largest total that this counter name may have by now
-    harness.gateway.ask_share = 0.9  # units are returned at once even while calls are sampled
+    harness.gateway.counter_sampling_share = 0.9  # units are returned at once even while calls are sampled
     refused = harness.feed(CounterReply(name, Ending.OK, level + 1.0))
     assert isinstance(final_answers(refused)[0], Refuse) and counter_amounts(refused) == [-1.0]
-    harness.gateway.ask_share = 1.0
+    harness.gateway.counter_sampling_share = 1.0
     second = harness.feed(Arrival(2, 0, 0, "a", 3000, 1, 30))
     assert isinstance(final_answers(second)[0], Refuse) and not counter_amounts(second)
     harness.now += 1100
@@ -668,7 +668,7 @@
     harness = GatewayHarness(
         replace(LARGE_FLEET, counter=True, counter_wait_ms=80, plans=(Plan(rate=1, burst=4),)), SIXTY_SERVERS
     )
-    harness.gateway.admit_tokens = harness.gateway.rate = 0.0
+    harness.gateway.admit_tokens = harness.gateway.admission_rate = 0.0
     refused = harness.feed(Arrival(1, 0, 0, "a", 3000, 1, 30))
     assert isinstance(final_answers(refused)[0], Refuse) and not counter_amounts(refused)
 
@@ -714,7 +714,7 @@
         assert isinstance(first, Send)
         (second,) = send_actions(harness.report_outcome(first, Ending.ERROR))
         harness.report_outcome(second, Ending.OK, attempt=1)
-    assert harness.gateway.customers["a"].open == 0
+    assert harness.gateway.customers["a"].open_attempts == 0
     assert isinstance(harness.submit(set_size=1), Send) and isinstance(harness.submit(set_size=1), Send)
     assert harness.submit(set_size=1) is WAITING
 
@@ -776,7 +776,7 @@
     assert isinstance(send, Send)
     harness.now += 2500
     harness.report_outcome(send, Ending.OK, latency_ms=2500)
-    assert harness.gateway.servers[send.server].slowness == 1.0 and not harness.gateway.delays
+    assert harness.gateway.servers[send.server].slowness == 1.0 and not harness.gateway.normalized_latencies
 
 
 def test_customer_that_drives_load_pressure_is_flagged_and_others_are_not() -> None:
@@ -848,7 +848,7 @@
         if n % 10 == 0:
             harness.feed(Alarm(0))
     assert len(harness.gateway.customers) < 1000
-    assert len(harness.gateway.tracked) <= policy.MAX_TRACKED_CUSTOMERS
+    assert len(harness.gateway.tracked_customers) <= policy.MAX_TRACKED_CUSTOMERS
     assert not harness.gateway.in_flight
 
 
@@ -860,16 +860,16 @@
 
 def test_sampled_counter_calls_stand_for_all_requests() -> None:
     harness = GatewayHarness(replace(SETTINGS, counter=True, counter_wait_ms=80))
-    harness.gateway.ask_share = 0.5
+    harness.gateway.counter_sampling_share = 0.5
     added, calls = 0.0, 0
     for n in range(400):
         harness.now += 1000
         actions = harness.feed(Arrival(n, 0, 0, f"c{n}", 3000, 1, 2))
         for add in (a for a in actions if isinstance(a, CounterAdd)):
             added, calls = added + add.amount, calls + 1
-            harness.gateway.ask_share = 0.5
+            harness.gateway.counter_sampling_share = 0.5
             harness.feed(CounterReply(add.name, Ending.OK, add.amount))
-            harness.gateway.ask_share = 0.5
+            harness.gateway.counter_sampling_share = 0.5
     assert 150 < calls < 250 and added == 2 * calls
 
 
@@ -946,7 +946,7 @@
         for attempt, ending in enumerate(endings):
             harness.report_outcome(send, ending, attempt, finished=attempt == len(endings) - 1)
         customer = harness.gateway.customers["a"]
-        return customer.shared_bucket, customer.cap, harness.gateway.unsent.get(customer.code, 0.0)
+        return customer.shared_bucket, customer.ceiling_bucket, harness.gateway.unsent_units.get(customer.code, 0.0)
 
     returned, kept = remaining(Ending.MOOT), remaining(Ending.ERROR)
     assert returned == (kept[0] + 1.0, kept[1] + 1.0, 0.0) and kept[2] == 1.0
@@ -967,7 +967,7 @@
             (send,) = send_actions(actions)
             harness.feed(ClientGone(harness.last_request))
             harness.report_outcome(send, Ending.MOOT, finished=True)
-        assert harness.gateway.customers["a"].correction == -first.amount
+        assert harness.gateway.customers["a"].counter_correction == -first.amount
         assert not harness.gateway.in_flight
 
 
@@ -992,7 +992,7 @@
     first = harness.submit()
     assert isinstance(first, Send)
     harness.now += 400
-    harness.gateway.servers[first.server].sent = harness.now
+    harness.gateway.servers[first.server].last_sent_at = harness.now
     harness.now += 200
     for _ in range(3):
         action = harness.submit()
@@ -1057,14 +1057,14 @@
     settings = replace(SETTINGS, peers=True, peer_messages_per_s=60, gateways=200)
     settings = replace(settings, counter=True, counter_wait_ms=80)
     reporter, receiver = GatewayHarness(settings), GatewayHarness(settings)
-    reporter.gateway.ask_share = 1.0
+    reporter.gateway.counter_sampling_share = 1.0
     for n in range(1, 4):
         add = next(a for a in reporter.feed(Arrival(n, 0, 1, "a", 3000, 1, 200)) if isinstance(a, CounterAdd))
         reporter.feed(CounterReply(add.name, Ending.OK, 1000.0))
         reporter.feed(CounterReply(add.name, Ending.OK, 999.0))
     message = next(a for a in reporter.feed(Alarm(1)) if isinstance(a, Tell))
     receiver.feed(PeerMessage(1, message.content))
-    receiver.gateway.ask_share = 0.0
+    receiver.gateway.counter_sampling_share = 0.0
     assert isinstance(receiver.submit(plan=1, set_size=200), Refuse)
     assert isinstance(receiver.submit(plan=1, customer="b", set_size=200), Send)
 
@@ -1100,7 +1100,7 @@
 def test_open_attempts_limit_admission_before_any_answer_arrives() -> None:
     """By Little's law too many open attempts show a slow fleet before the first latency is measured."""
     harness = GatewayHarness(replace(SETTINGS, gateways=200), servers=tuple(Server(f"s{n}") for n in range(40)))
-    harness.gateway.rate = 5.0
+    harness.gateway.admission_rate = 5.0
     sent = 0
     for _ in range(40):
         harness.now += 50
@@ -1110,8 +1110,8 @@
 
 def test_initial_admission_rate_matches_the_initial_concurrency_of_all_servers() -> None:
     harness = GatewayHarness(replace(SETTINGS, gateways=360))
-    assert harness.gateway.rate == policy.ADMISSION_RATE_MIN
-    assert GatewayHarness(replace(SETTINGS, gateways=12)).gateway.rate == policy.LIMIT_START * 3 / 12
+    assert harness.gateway.admission_rate == policy.ADMISSION_RATE_MIN
+    assert GatewayHarness(replace(SETTINGS, gateways=12)).gateway.admission_rate == policy.LIMIT_START * 3 / 12
 
 
 def test_latency_of_cold_servers_does_not_count_as_fleet_latency() -> None:
@@ -1120,7 +1120,7 @@
     send = harness.submit()
     assert isinstance(send, Send)
     harness.report_outcome(send, Ending.OK, latency_ms=900)
-    assert harness.gateway.delays == []
+    assert harness.gateway.normalized_latencies == []
 
 
 def receive_counter_total(
@@ -1176,7 +1176,7 @@
     harness.now += 80
     for name in names:
         harness.feed(CounterReply(name, Ending.TIMEOUT))
-    assert harness.gateway.ask_share == policy.COUNTER_SAMPLING_CUT
+    assert harness.gateway.counter_sampling_share == policy.COUNTER_SAMPLING_CUT
 
 
 def test_one_overdue_request_only_halves_the_health_of_its_server() -> None:
@@ -1195,6 +1195,6 @@
     assert isinstance(send, Send)
     harness.now += 600
     harness.feed(Alarm(send.request + policy.FIRST_REQUEST_TOKEN))
-    assert harness.gateway.delays == [0.6]
+    assert harness.gateway.normalized_latencies == [0.6]
     harness.report_outcome(send, Ending.OK, latency_ms=900)
-    assert harness.gateway.delays == [0.6]
+    assert harness.gateway.normalized_latencies == [0.6]
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -248,7 +248,7 @@
         snapshot.restore(new, new.settings, told, 2.0)
         self.assertIsNotNone(new.customers["a"].owned_quota)
         new.refill(new.customers["a"])
-        self.assertEqual(new.customers["a"].cap, 5.0)
+        self.assertEqual(new.customers["a"].ceiling_bucket, 5.0)
 
 
 class Exhaustive(unittest.TestCase):
--- a/tests/test_snapshot_format.py
+++ b/tests/test_snapshot_format.py
@@ -97,12 +97,12 @@
 def test_the_state_of_the_gateway_is_restored() -> None:
     gateway, returned = restored()
     assert returned == ([200.0, 100.0, 160.0], [0.1, 0.0, 0.3])
-    assert (gateway.started, gateway.peer_news_at, gateway.ask_share) == (300.0, 301.0, 302.0)
-    assert (gateway.reply_at, gateway.no_reply_at) == (303.0, -math.inf)
+    assert (gateway.started, gateway.peer_message_at, gateway.counter_sampling_share) == (300.0, 301.0, 302.0)
+    assert (gateway.counter_reply_at, gateway.counter_failure_at) == (303.0, -math.inf)
     assert (gateway.warm_rate, gateway.mean_load, gateway.retry_budget) == (305.0, 306.0, 307.0)
-    assert (gateway.rate, gateway.admit_tokens, gateway.filled_at) == (math.inf, 309.0, 310.0)
+    assert (gateway.admission_rate, gateway.admit_tokens, gateway.admit_tokens_at) == (math.inf, 309.0, 310.0)
     assert gateway.avg_admitted == 311.0
-    assert gateway.delays == [0.2, 0.4]
+    assert gateway.normalized_latencies == [0.2, 0.4]
     assert gateway.unknown_use == {123: [(1800.0, 2.5)]}
     assert gateway.admit_shares == {456: 40.0}
 
@@ -113,17 +113,17 @@
     alice, bob = gateway.customers["alice"], gateway.customers["bob"]
     assert gateway.by_code == {alice.code: alice, bob.code: bob}
     assert (alice.plan, bob.plan) == SETTINGS.plans
-    assert (alice.set_size, alice.set_first, alice.even) == (2, 1, 0.5)
-    assert (alice.seen_at, alice.others_at, alice.filled_at) == (102.0, 103.0, 104.0)
+    assert (alice.set_size, alice.set_first, alice.even_share) == (2, 1, 0.5)
+    assert (alice.seen_at, alice.others_reported_at, alice.refilled_at) == (102.0, 103.0, 104.0)
     assert (alice.bucket, alice.shared_bucket, alice.overflow) == (105.0, 106.0, 107.0)
-    assert (alice.admit_share, alice.cap, alice.demand) == (108.0, 109.0, 110.0)
+    assert (alice.admit_share, alice.ceiling_bucket, alice.demand) == (108.0, 109.0, 110.0)
     assert (alice.sent_rate, alice.others_rate) == (111.0, 112.0)
     assert (alice.counter_total, alice.counter_level, alice.counter_level_at) == (113.0, 114.0, -math.inf)
     assert (alice.throttle_rate, alice.throttle_bucket) == (116.0, 117.0)
-    assert (alice.use_known, alice.total_name, alice.open) == (True, 77, 0)
+    assert (alice.use_known, alice.counter_total_name, alice.open_attempts) == (True, 77, 0)
     # The old process's open attempt counts as one of a peer, under this gateway's own position.
-    assert alice.peers_open == {2: (3.0, 1900.0), 1: (1.0, 2500.0)}
-    assert (bob.use_known, bob.total_name, bob.peers_open) == (False, -1, {1: (1.0, 2500.0)})
+    assert alice.peer_open_attempts == {2: (3.0, 1900.0), 1: (1.0, 2500.0)}
+    assert (bob.use_known, bob.counter_total_name, bob.peer_open_attempts) == (False, -1, {1: (1.0, 2500.0)})
 
 
 def test_servers_are_restored() -> None:
@@ -131,9 +131,14 @@
     first, second = gateway.servers["10.0.0.1:80"], gateway.servers["10.0.0.2:80"]
     assert (first.limit, first.cold_tokens, first.cold_tokens_at, first.limit_cut_at) == (200.0, 201.0, 202.0, 203.0)
     assert (first.other_load, first.reported_at, first.slowness) == (204.0, 205.0, 206.0)
-    assert (first.delay, first.measured_at, first.sent, first.answer_at) == (207.0, 208.0, 209.0, 210.0)
+    assert (first.normalized_latency, first.measured_at, first.last_sent_at, first.answer_at) == (
+        207.0,
+        208.0,
+        209.0,
+        210.0,
+    )
     assert (first.ejected_until, first.down_at, first.cold_since) == (211.0, 212.0, 213.0)
-    assert (first.ejections, first.health, first.open) == (3, {1: (0.25, 1950.0)}, 0.0)
+    assert (first.ejections, first.health, first.open_attempts) == (3, {1: (0.25, 1950.0)}, 0.0)
     assert (second.limit, second.cold_tokens, second.cold_since, second.health) == (4.0, 0.01171335345134139, None, {})
 
 
