--- a/petrelhall/decide/gossip.py
+++ b/petrelhall/decide/gossip.py
@@ -1,7 +1,7 @@
 """Encoding of the messages that gateways send each other about their use of quotas.
 
 A message holds a version, the number of use entries, the use entries (customer code, units, sum) and then entries of
-open attempts (customer code, attempts) for customers whose plan caps those. Units are those since the last message.
+open attempts (customer code, attempts) for customers whose plan limits those. Units are those since the last message.
 The sum adds up all units ever reported of the customer, modulo 256: a receiver that missed a message finds the missed
 units by the sum of the next one.
 """
@@ -26,7 +26,7 @@
 def encode(
     uses: Iterable[tuple[int, float]], opens: Iterable[tuple[int, int]] = (), sent_sums: dict[int, int] | None = None
 ) -> bytes:
-    """Encode units sent on by customer, rounded to half units, and open attempts; updates ``sent_sums``."""
+    """Encode units sent to servers by customer, rounded to half units, and open attempts; updates ``sent_sums``."""
     use_entries = []
     for code, units in uses:
         halves = min(255, round(units * 2))
@@ -45,9 +45,13 @@
 ) -> tuple[bytes, dict[int, float], dict[int, int]]:
     """Encode as many entries as a message holds, open attempts first; return the message and the remaining entries."""
     opens, entries = list(open_attempts.items()), list(units.items())
-    most = ENTRY_BYTES // OPEN_ENTRY.size
-    room = (ENTRY_BYTES - OPEN_ENTRY.size * len(opens[:most])) // USE_ENTRY.size
-    return encode(entries[:room], opens[:most], sent_sums), dict(entries[room:]), dict(opens[most:])
+    max_open_entries = ENTRY_BYTES // OPEN_ENTRY.size
+    max_use_entries = (ENTRY_BYTES - OPEN_ENTRY.size * len(opens[:max_open_entries])) // USE_ENTRY.size
+    return (
+        encode(entries[:max_use_entries], opens[:max_open_entries], sent_sums),
+        dict(entries[max_use_entries:]),
+        dict(opens[max_open_entries:]),
+    )
 
 
 def decode(
--- a/petrelhall/decide/interface.py
+++ b/petrelhall/decide/interface.py
@@ -23,7 +23,7 @@
 
 
 class Ending(Enum):
-    """Result of an attempt, a probe or a counter call."""
+    """Result of an attempt, a probe or a counter call; ``MOOT``: the attempt was never sent."""
 
     OK = "ok"
     ERROR = "error"
--- a/petrelhall/decide/policy.py
+++ b/petrelhall/decide/policy.py
@@ -22,8 +22,9 @@
 from petrelhall.decide.state import Customer, GatewayState, InFlightRequest, ServerState, decay, replay, spend
 from petrelhall.decide.waiting import RECHECK_INTERVAL_MS, WaitingRequests
 
-# Unless a comment says otherwise, latencies are given as a multiple of the target latency (aim_ms) of the request's
-# class, and weights are those of one sample in an exponentially weighted moving average.
+# Names that end in _MS are in ms, counts and shares (fractions of 1) have no unit. Names with LATENCY are normalized
+# latencies: multiples of the target latency (aim_ms) of the request's class. EWMA weights are those of one sample in an
+# exponentially weighted moving average. An attempt is open until its outcome is known.
 
 # Overload detection and throttling
 
@@ -33,7 +34,7 @@
 STALL_MS = 200.0
 # Most recent intervals of a customer that are correlated with load pressure.
 CORRELATION_WINDOW = 30
-# Fewest intervals that are tested.
+# Fewest intervals of a customer that are tested for correlation.
 MIN_INTERVALS = 8
 # Least number of outcomes that the share of failed ones is taken of.
 MIN_OUTCOMES = 5.0
@@ -43,11 +44,11 @@
 MAX_TRACKED_CUSTOMERS = 32
 # Tests in a row that must flag a customer: one flag in 20 is chance.
 MIN_CONSECUTIVE_FLAGS = 2
-# Rate of a throttled customer over its demand; the paper's.
+# Rate of a throttled customer as a share of its demand; the paper's.
 THROTTLE_RATIO = 1.0 / 3.5
 # A customer that uses less than this share of its quota is not throttled.
 THROTTLE_MIN_USE = 0.9
-# Mean latency, and share of outcomes that were full or timed out, above which overload begins.
+# Mean normalized latency, and share of outcomes that were full or timed out, above which overload begins.
 OVERLOAD_START = (1.0, 0.10)
 # The same two, below which overload ends.
 OVERLOAD_END = (0.7, 0.05)
@@ -56,11 +57,11 @@
 
 # Time constant of the decay of rates: short enough to follow traffic that shifts between gateways.
 RATE_DECAY_MS = 3000.0
-# Age up to which what others reported of their use (peers, meter, counter) counts.
+# Age up to which reports of others' use (from peers, meter or counter) count.
 USAGE_REPORT_TTL_MS = 3000.0
-# Age of metered use when it arrives: the meter's period and the way.
+# Age of metered use when it arrives: the meter's period and the transmission.
 METER_LAG_MS = 1500.0
-# Age of the use that peers report when it arrives: the period of the messages and the way.
+# Age of the use that peers report when it arrives: the period of the messages and the transmission.
 PEER_LAG_MS = 150.0
 # Least time between two periodic messages to peers.
 MIN_GOSSIP_INTERVAL_MS = 50.0
@@ -68,8 +69,8 @@
 GOSSIP_BUDGET_SHARE = 0.6
 # Factor by which a customer's admitted share must change before it is reported to peers again.
 SHARE_REPORT_RATIO = 1.3
-# If messages to all peers must be further apart than this, they are too late for reports of running attempts; these
-# then go to the gateways of the customer only, and the fleet counts as large.
+# If messages to all peers must be further apart than this, they are too late for reports of open attempts; these
+# then go to the gateways of the customer only, and the fleet of gateways counts as large.
 BROADCAST_MAX_DELAY_MS = 100.0
 # In a large fleet: share of the messages that a peer accepts that go to all peers.
 BROADCAST_BUDGET_SHARE = 0.15
@@ -81,31 +82,31 @@
 MAX_SHARES = 10000
 # Least share of requests that call the counter.
 COUNTER_SAMPLING_MIN = 0.1
-# Factor on that share when the counter does not answer.
+# Factor on that share each time the counter fails to answer.
 COUNTER_SAMPLING_CUT = 0.7
-# Growth of that share per second while answers come.
+# Increase of that share per second while answers come.
 COUNTER_SAMPLING_GROWTH = 0.04
-# The same where no call has lately gone without an answer.
+# The same, per second, where no call has lately gone without an answer.
 COUNTER_SAMPLING_FAST_GROWTH = 0.2
 # Share of a customer's demand covered by its quota from which its requests pass as within quota.
 LIKELY_WITHIN_QUOTA = 0.9
 # Least share of a customer's demand that is admitted under a meter.
 ADMITTED_SHARE_MIN = 0.05
-# Largest relative step of that share.
+# Largest step of that share, as a share of it.
 ADMITTED_SHARE_MAX_STEP = 0.5
-# Time in which that share follows the metered use.
+# Time in which that share adjusts to the metered use.
 ADMITTED_SHARE_ADJUST_MS = 4000.0
 # Least delay that a refusal advises before the next try.
 MIN_RETRY_AFTER_MS = 50.0
-# Age of a peer's report of running attempts when it arrives.
+# Age of a peer's report of open attempts when it arrives.
 ATTEMPT_REPORT_LAG_MS = 30.0
 # Probability that a customer's limit on concurrent attempts is already reached, above which no attempt is started.
 MAX_ATTEMPT_LIMIT_RISK = 0.2
 # The same in a large fleet.
 MAX_ATTEMPT_LIMIT_RISK_LARGE_FLEET = 0.1
-# Time for which attempts reported by a peer count.
+# Time for which open attempts reported by a peer count.
 ATTEMPT_REPORT_TTL_MS = 300.0
-# Share of the messages that a peer accepts that reports of running attempts may take at most.
+# Share of the messages that a peer accepts that reports of open attempts may take at most.
 ATTEMPT_REPORT_BUDGET_SHARE = 0.9
 
 # Servers
@@ -120,7 +121,7 @@
 SLOWNESS_HALF_LIFE_MS = 8000.0
 # Half-life of a server's load report.
 LOAD_REPORT_HALF_LIFE_MS = 500.0
-# Half-life of what is known of a server's health for a class.
+# Half-life of a server's recorded health (probability of success) for a class.
 HEALTH_HALF_LIFE_MS = 20000.0
 # Largest random addition to a server's cost, as a share: it keeps gateways from choosing the same server together.
 COST_JITTER = 0.15
@@ -140,11 +141,12 @@
 LIMIT_MIN = 1.0
 # Largest limit on concurrent attempts at one server from this gateway.
 LIMIT_MAX = 64.0
-# Latency of a server below which its limit grows.
+# Smoothed normalized latency of a server below which its limit grows.
 LIMIT_GROWTH_LATENCY = 0.20
-# Latency of a server above which its limit is cut.
+# Smoothed normalized latency of a server above which its limit is cut.
 LIMIT_CUT_LATENCY = 0.30
-# Time without an outcome from a server with running attempts after which it gets no new ones.
+# Time without an outcome from a server with open attempts after which it gets no new ones, as a multiple of the target
+# latency.
 SILENCE_LATENCY = 0.45
 # Servers that are compared for one attempt.
 SERVER_SAMPLE_SIZE = 16
@@ -152,47 +154,48 @@
 MIN_HEALTH = 0.1
 # Probability of success from which a server counts as good when the usual rate to a warm server is measured.
 GOOD_HEALTH = 0.5
-# Latest answers whose median shows whether the fleet is slow.
+# Number of latest answers whose median normalized latency shows whether the fleet is slow.
 LATENCY_SAMPLES = 9
-# Median latency above which demand is shed.
+# Median normalized latency above which demand is shed.
 SHED_LATENCY = 0.4
 # Least rate of admitted requests per second.
 ADMISSION_RATE_MIN = 0.5
-# Largest admission rate over the usual number of admitted requests per interval.
+# Largest admission rate as a multiple of the smoothed number of admitted requests per interval.
 ADMISSION_RATE_SLACK = 2.0
 # Largest cut of the admission rate per interval, as a share.
 ADMISSION_RATE_CUT = 0.3
 # Growth of the admission rate per interval, as a share.
 ADMISSION_RATE_GROWTH = 0.02
-# Additional growth where all answers are quick.
+# Additional growth per interval, as a share, times how far the median latency is below SHED_LATENCY (as a share of it).
 ADMISSION_RATE_FAST_GROWTH = 0.5
-# Latency for which attempts at the admission rate may be running: more than that are refused.
+# By Little's law, admission rate times this latency is the number of open attempts from which requests are refused.
 CONCURRENCY_LATENCY = 0.2
-# Weight of an interval in the usual number of admitted requests.
+# Weight of an interval in the smoothed number of admitted requests.
 ADMITTED_EWMA_WEIGHT = 0.3
 # Outcomes per interval from which the admission rate is cut in full.
 FULL_CUT_OUTCOMES = 4.0
 # Tokens of the admission rate that must be there for a request not known to be within its quota, in place of 1.
 UNCONFIRMED_RESERVE = 1.5
-# Multiplicative decrease of a server's limit.
+# Factor on a server's limit when it is cut.
 LIMIT_CUT_FACTOR = 0.85
-# Least time between two decreases.
+# Least time between two cuts of a server's limit.
 LIMIT_CUT_INTERVAL_MS = 200.0
 
 # Attempts
 
-# Latency per unit that is assumed before any was measured.
+# Normalized latency per unit that is assumed before any was measured.
 INITIAL_LATENCY = 0.2
-# Least time that an answer takes.
+# Least time that an answer is assumed to take.
 MIN_ANSWER_MS = 20.0
-# Retry budget that each request earns with its first attempt.
+# Retry budget, in retries, that each request earns with its first attempt.
 RETRY_BUDGET_PER_REQUEST = 0.15
-# Largest retry budget that is saved.
+# Largest retry budget that is saved, in retries.
 RETRY_BUDGET_MAX = 15.0
 # Multiple of the expected latency after which a first attempt counts as overdue.
 OVERDUE_LATENCIES = 3.0
-# Bounds on that time, as shares of the target latency.
+# Least time until then, as a share of the target latency.
 OVERDUE_MIN = 0.2
+# Largest time until then, as a share of the target latency.
 OVERDUE_MAX = 0.5
 # Share of the target latency in which an answer must come if a late one is worth nothing.
 AIM_MARGIN = 0.98
@@ -283,8 +286,8 @@
     def is_attempt_limit_likely_reached(self, customer: Customer) -> bool:
         """Tell whether a customer likely has all concurrent attempts that its plan allows, over all gateways.
 
-        A peer reports its running attempts again and again, so that soon after its last report they count as ended.
-        Until peers have been received for a while, the even share of the limit holds.
+        A peer reports its open attempts again and again, so that soon after its last report they count as ended.
+        Until messages from peers have been received for a while, the even share of the limit holds.
         """
         places_left = customer.plan.max_open - customer.open_attempts
         reports_missing = self.now - max(self.started, self.peer_message_at) > USAGE_REPORT_TTL_MS
@@ -310,7 +313,7 @@
         )
 
     def report_attempts(self, customer: Customer) -> None:
-        """Report to peers how many attempts of a customer are running, at once if the last message is old enough.
+        """Report to peers how many attempts of a customer are open, at once if the last message is old enough.
 
         An attempt is over within the time of a few messages, so that the next periodic message would be too late.
         """
@@ -349,7 +352,7 @@
         self.broadcast_at = self.now
 
     def record_others_usage(self, customer: Customer, units: float) -> None:
-        """Take what other gateways have sent on from the shared bucket.
+        """Deduct units that other gateways have sent to servers from the shared bucket.
 
         Tokens that the bucket lost because it was full are used for this first.
         """
@@ -445,9 +448,8 @@
                 1.0 - self.counter_sampling_share, growth_per_s * min(1.0, (self.now - self.counter_reply_at) / 1000.0)
             )
             self.counter_reply_at = self.now
-        elif (
-            called_at > self.counter_failure_at
-        ):  # one overload of the counter is one cut, however many calls it delayed
+        # One overload of the counter is one cut, however many calls it delayed.
+        elif called_at > self.counter_failure_at:
             self.counter_sampling_share, self.counter_failure_at = (
                 max(COUNTER_SAMPLING_MIN, self.counter_sampling_share * COUNTER_SAMPLING_CUT),
                 self.now,
@@ -494,18 +496,24 @@
         """
         self.actions.append(api.SetTimer(INTERVAL_MS, 0))
         self.interval_due = self.now + INTERVAL_MS
-        lateness, bad = (
+        mean_latency, overload_share = (
             self.normalized_latency_sum / max(1.0, self.served_attempts),
             self.overload_outcomes / max(MIN_OUTCOMES, self.ended_attempts),
         )
-        was_overloaded, (max_lateness, max_bad) = self.overloaded, OVERLOAD_END if self.overloaded else OVERLOAD_START
-        self.overloaded = lateness > max_lateness or bad > max_bad
+        was_overloaded, (max_latency, max_overload_share) = (
+            self.overloaded,
+            OVERLOAD_END if self.overloaded else OVERLOAD_START,
+        )
+        self.overloaded = mean_latency > max_latency or overload_share > max_overload_share
         latency_excess = statistics.median(self.normalized_latencies or [0.0]) / SHED_LATENCY - 1.0
         self.all_slow = latency_excess > 0.0
         self.update_admission_rate(latency_excess)
         for customer in self.tracked_customers.values():
             self.refill(customer)
-            customer.samples = [*customer.samples[1 - CORRELATION_WINDOW :], (customer.interval_units, lateness + bad)]
+            customer.samples = [
+                *customer.samples[1 - CORRELATION_WINDOW :],
+                (customer.interval_units, mean_latency + overload_share),
+            ]
             flagged = len(customer.samples) >= MIN_INTERVALS and significant(customer.samples, NORMAL_QUANTILE)
             customer.consecutive_flags = customer.consecutive_flags + 1 if flagged else 0
             near_quota = customer.demand + customer.others_rate > THROTTLE_MIN_USE * customer.plan.rate
@@ -516,8 +524,8 @@
         if was_overloaded != self.overloaded:
             self.actions.append(
                 api.Note(
-                    f"overloaded: {self.overloaded}; mean latency {lateness:.2f} times the target, "
-                    f"{bad:.2f} of outcomes full or timed out"
+                    f"overloaded: {self.overloaded}; mean latency {mean_latency:.2f} times the target, "
+                    f"{overload_share:.2f} of outcomes full or timed out"
                 )
             )
         active = self.tracked_customers | self.active_customers
@@ -587,7 +595,7 @@
         self.initial_admission_rate = max(
             ADMISSION_RATE_MIN, LIMIT_START * len(self.healthy_servers) / self.settings.gateways
         )
-        if not self.avg_admitted:  # nothing is known yet: per second as many as may run at first
+        if not self.avg_admitted:  # nothing is known yet: as many requests per second as may run at first
             self.admission_rate = self.initial_admission_rate
 
     def pick_server(self, request: InFlightRequest) -> ServerState | None:
@@ -666,7 +674,7 @@
 
     def learn_from_outcome(self, server_state: ServerState, event: api.Outcome, request: InFlightRequest) -> None:
         """Learn from how an attempt ended: latency, the server's concurrency limit, outlier ejection."""
-        ending, lateness = event.ending, event.latency_ms / request.request_class.aim_ms
+        ending, normalized_latency = event.ending, event.latency_ms / request.request_class.aim_ms
         self.ended_attempts += ending not in (Ending.MOOT, Ending.CANCELLED)
         self.overload_outcomes += ending in (Ending.FULL, Ending.TIMEOUT)
         relative_latency = event.latency_ms / max(1e-3, self.expected_ms(request))
@@ -675,13 +683,15 @@
         if informative and self.stall_at < self.now:
             self.latency_per_unit_ms[request.request_class] *= 1.0 + FLEET_EWMA_WEIGHT * (relative_latency - 1.0)
             server_state.slowness += SERVER_EWMA_WEIGHT * (min(relative_latency, 10.0) - server_state.slowness)
-            server_state.normalized_latency += SERVER_EWMA_WEIGHT * (lateness - server_state.normalized_latency)
+            server_state.normalized_latency += SERVER_EWMA_WEIGHT * (
+                normalized_latency - server_state.normalized_latency
+            )
             if not request.overdue and server_state.cold_since is None:  # slow start is no overload
-                self.normalized_latencies = [*self.normalized_latencies[1 - LATENCY_SAMPLES :], lateness]
+                self.normalized_latencies = [*self.normalized_latencies[1 - LATENCY_SAMPLES :], normalized_latency]
             server_state.measured_at, served = self.now, ending is Ending.OK
             self.served_attempts, self.normalized_latency_sum = (
                 self.served_attempts + served,
-                self.normalized_latency_sum + lateness * served,
+                self.normalized_latency_sum + normalized_latency * served,
             )
             # A limit grows only while it is in use: otherwise the latency says nothing about it.
             if (
@@ -747,7 +757,7 @@
         return self.now + max(MIN_ANSWER_MS, 0.5 * self.expected_ms(request)) > request.useful_until
 
     def expected_ms(self, request: InFlightRequest) -> float:
-        """Return the time in ms that a request should take on an ordinary server."""
+        """Return the expected latency of a request, in ms, on an ordinary server."""
         return self.latency_per_unit_ms[request.request_class] * max(0.1, request.units)
 
     def retry(self, request: InFlightRequest, cost: float) -> bool:
@@ -804,7 +814,7 @@
         return math.inf
 
     def end_request(self, event: api.Event) -> None:
-        """Mark a request as answered and cancel its running attempts; forget it when the last of them has ended."""
+        """Mark a request as answered and cancel its open attempts; forget it when the last of them has ended."""
         request = self.in_flight.get(getattr(event, "request", -1))
         if request is None:
             return
@@ -833,13 +843,13 @@
             customer = Customer(plan, event.set_size, code, self.now, self.now - USAGE_REPORT_TTL_MS, event.set_first)
             reported_share = self.admit_shares.get(code, 100.0) / 100.0
             customer.admit_share = reported_share if self.uses_counter or self.uses_meter else customer.even_share
-            # If peers have been received for a while, the bucket is full less what they reported of the customer.
+            # If messages from peers have been received for a while, the bucket is full less what they reported of the customer.
             if self.uses_peers:
                 peers_known = self.initial_fill.confirmed or self.now - self.started > USAGE_REPORT_TTL_MS
                 peers_known = peers_known and self.now - self.peer_message_at < USAGE_REPORT_TTL_MS
                 used = self.unknown_use.pop(code, [])
                 # In a large fleet an even share is less than one request: until reports come, no gateway could admit
-                # any. So the bucket counts from the start there, whether peers have been received or not.
+                # any. So the bucket counts from the start there, whether messages from peers have been received or not.
                 left = replay(plan, used, self.now) if peers_known or self.is_large_fleet else 0.0
                 customer.shared_bucket = max(plan.burst * customer.even_share, left)
             customer.ceiling_bucket = (
@@ -882,10 +892,11 @@
                 min(2.0 + 0.5 * self.admission_rate, self.admit_tokens + earned),
                 self.now,
             )
-            # Little's law: the number of running attempts shows a slow fleet before any answer does.
-            max_running = 1.0 + self.admission_rate * CONCURRENCY_LATENCY * request.request_class.aim_ms / 1000.0
+            # Little's law: the number of open attempts shows a slow fleet before any answer does.
+            max_open_attempts = 1.0 + self.admission_rate * CONCURRENCY_LATENCY * request.request_class.aim_ms / 1000.0
             cause = cause or "pace" * (
-                self.admit_tokens < (1.0 if confirmed else UNCONFIRMED_RESERVE) or self.open_attempts >= max_running
+                self.admit_tokens < (1.0 if confirmed else UNCONFIRMED_RESERVE)
+                or self.open_attempts >= max_open_attempts
             )
         return cause
 
@@ -967,10 +978,13 @@
             self.actions.append(api.Subscribe())
         elif request is not None and not request.ended and len(request.attempts) == 1 and self.stall_at < self.now:
             # Overdue. No second copy is sent, since it would only add to the load.
-            request.overdue, lateness = True, (self.now - request.attempts[0].sent_at) / request.request_class.aim_ms
+            request.overdue, normalized_latency = (
+                True,
+                (self.now - request.attempts[0].sent_at) / request.request_class.aim_ms,
+            )
             if request.attempts[0].target.cold_since is None:
                 self.normalized_latencies = [
                     *self.normalized_latencies[1 - LATENCY_SAMPLES :],
-                    lateness,
-                ]  # its latency will be at least this
+                    normalized_latency,  # a lower bound: the attempt is still open
+                ]
             self.record_health(request.attempts[0].target, request, False)
--- a/petrelhall/decide/snapshot.py
+++ b/petrelhall/decide/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshot of a gateway's state that one process hands to its successor at an upgrade. Pure.
+"""Snapshot of a gateway's state that one process hands to its successor at an upgrade. No input or output.
 
 A snapshot holds plain values only, so that any file format can carry it. One that is malformed, or was made under
 other settings, is refused as a whole (SnapshotError). Requests in flight are not part of it: they end in the process
@@ -81,10 +81,14 @@
 
 
 def take(
-    state: GatewayState, settings: Settings, latency: list[float], faults: list[float], served: tuple[Plan, ...] = ()
+    state: GatewayState,
+    settings: Settings,
+    latency: list[float],
+    failure_rates: list[float],
+    active_plans: tuple[Plan, ...] = (),
 ) -> dict[str, Any]:
-    """Return a snapshot of the current state; ``served`` are the plans in use where they differ from the settings'."""
-    plans = {id(plan): index for index, plan in enumerate(served or settings.plans)}
+    """Return a snapshot of the current state; ``active_plans`` are the plans in use, if not those of the settings."""
+    plans = {id(plan): index for index, plan in enumerate(active_plans or settings.plans)}
     latest = sorted(state.customers.items(), key=lambda named: named[1].seen_at)[-MAX_CUSTOMERS:]
     return {
         "form": FORMAT_VERSION,
@@ -92,7 +96,7 @@
         "at": state.now,
         "memory": read_fields(state, GATEWAY_FIELDS),
         "latency": latency,
-        "faults": faults,
+        "faults": failure_rates,
         "waits": state.normalized_latencies,
         "customers": {
             name: [
@@ -112,7 +116,7 @@
             address: [
                 *read_fields(server, SERVER_FIELDS),
                 server.ejections,
-                [[class_index, good, at] for class_index, (good, at) in server.health.items()],
+                [[class_index, success_chance, at] for class_index, (success_chance, at) in server.health.items()],
             ]
             for address, server in state.servers.items()
         },
@@ -120,7 +124,7 @@
 
 
 def restore(state: GatewayState, settings: Settings, data: Any, now: float) -> tuple[list[float], list[float]]:
-    """Load a snapshot into ``state``, and return the latency and the share of faults by class.
+    """Load a snapshot into ``state``, and return the latency per unit (ms) and the failure rate, each by class.
 
     Raises SnapshotError, with ``state`` unchanged. Attempts that the other process has open count as those of a peer
     reported now, which soon expire.
@@ -133,8 +137,8 @@
             for name, values in data["customers"].items()
         }
         gateway_values = parse_numbers(data["memory"], len(GATEWAY_FIELDS))
-        latency, faults = (parse_numbers(data[name], len(settings.classes)) for name in ("latency", "faults"))
-        delays = parse_numbers(data["waits"], None)
+        latency, failure_rates = (parse_numbers(data[name], len(settings.classes)) for name in ("latency", "faults"))
+        normalized_latencies = parse_numbers(data["waits"], None)
         unknown_use = {
             int(code): [tuple(parse_numbers(entry, 2)) for entry in used] for code, used in data["strangers"].items()
         }
@@ -153,14 +157,14 @@
         customer.owned_quota = state.quota_owner.account(customer, now) if state.quota_owner is not None else None
     for name, value in zip(GATEWAY_FIELDS, gateway_values, strict=True):
         setattr(state, name, value)
-    state.normalized_latencies, state.admit_shares = delays, admit_shares
+    state.normalized_latencies, state.admit_shares = normalized_latencies, admit_shares
     state.unknown_use = {code: [(at, units) for at, units in used] for code, used in unknown_use.items()}
     for address, (values, ejections, health) in servers.items():
         server = state.servers[address]
         for name, value in zip(SERVER_FIELDS, values, strict=True):
             setattr(server, name, None if name == "cold_since" and value == -math.inf else value)
         server.ejections, server.health = ejections, health
-    return latency, faults
+    return latency, failure_rates
 
 
 def parse_customer(settings: Settings, code: int, values: Any, now: float) -> Customer:
@@ -194,7 +198,11 @@
     """Return a server's fields, ejections and health by class from its stored list."""
     numbers = parse_numbers(values[: len(SERVER_FIELDS)], len(SERVER_FIELDS))
     ejections, health = values[len(SERVER_FIELDS) :]
-    return numbers, int(ejections), {int(index): (parse_number(good), parse_number(at)) for index, good, at in health}
+    return (
+        numbers,
+        int(ejections),
+        {int(index): (parse_number(success_chance), parse_number(at)) for index, success_chance, at in health},
+    )
 
 
 def read_fields(record: object, names: tuple[str, ...]) -> list[float | None]:
--- a/petrelhall/decide/state.py
+++ b/petrelhall/decide/state.py
@@ -1,6 +1,8 @@
 """State that a gateway keeps of customers, servers and requests: plain records, no decisions.
 
-Times are in ms on the clock that is handed in with each event, units are those of the plans, rates are per second.
+Times are in ms on the clock that is passed in with each event. Units are those of the plans, rates are per second.
+An open attempt is one without an outcome yet. A normalized latency is a multiple of the target latency (``aim_ms``)
+of the request's class.
 """
 
 from __future__ import annotations
@@ -43,56 +45,55 @@
     plan: Plan
     set_size: int  # number of gateways that the customer uses
     code: int  # identifies the customer in messages to peers and at the shared counter
-    seen_at: float
+    seen_at: float  # when its last request arrived
     others_reported_at: float  # when use through other gateways was last reported
     set_first: int = 0  # number of the first gateway that it uses
-    even_share: float = 1.0  # an even share: one over the number of gateways that it uses
+    even_share: float = 1.0  # one over the number of gateways that it uses
     refilled_at: float = 0.0  # when the buckets were last brought up to date
-    bucket: float = 0.0  # local token bucket; begins with the even share of the burst
+    bucket: float = 0.0  # this gateway's own token bucket of the quota; begins with the even share of the burst
     shared_bucket: float = 0.0  # estimate of the quota's whole bucket, over all gateways
     use_known: bool = False  # whether its use over all gateways was ever reported
     overflow: float = 0.0  # tokens that the full shared bucket has discarded since the last report
     admit_share: float = 1.0  # estimated share of its demand that the quota covers
-    ceiling_bucket: float = 0.0  # token bucket of this gateway's part of the ceiling
-    demand: float = 0.0  # recent rate of requests
-    sent_rate: float = 0.0  # recent rate sent on to servers by this gateway
-    others_rate: float = 0.0  # recent rate sent on by other gateways
+    ceiling_bucket: float = 0.0  # token bucket of this gateway's even share of the ceiling
+    demand: float = 0.0  # recent rate of units requested
+    sent_rate: float = 0.0  # recent rate of units sent to servers by this gateway
+    others_rate: float = 0.0  # recent rate of units sent to servers by other gateways
     interval_units: float = 0.0  # units requested in the current interval
     counter_total: float = 0.0  # last total that the shared counter returned
     counter_level: float = 0.0  # tokens in the bucket on the shared counter at ``counter_level_at``
     counter_level_at: float = -math.inf
     counter_correction: float = 0.0  # units to add to the amount of the next counter call
-    counter_total_name: int = -1  # counter name that ``counter_total`` was read from
-    open_attempts: int = 0  # attempts without an outcome yet
+    counter_total_name: int = -1  # counter name that ``counter_total`` was read from; -1: none yet
+    open_attempts: int = 0  # its requests that have an open attempt at this gateway
     owned_quota: OwnedQuota | None = None  # where set, it decides in place of the buckets above
-    peer_open_attempts: dict[int, tuple[float, float]] = field(
-        default_factory=dict
-    )  # by peer: open attempts, when reported
-    samples: list[tuple[float, float]] = field(default_factory=list)  # units and pressure of recent intervals
-    consecutive_flags: int = 0  # consecutive intervals in which its use correlated with pressure
-    throttle_rate: float = 0.0  # 0 while the customer is not throttled
+    # By peer: open attempts, when reported.
+    peer_open_attempts: dict[int, tuple[float, float]] = field(default_factory=dict)
+    samples: list[tuple[float, float]] = field(default_factory=list)  # units and load pressure of recent intervals
+    consecutive_flags: int = 0  # consecutive intervals in which its use correlated with load pressure
+    throttle_rate: float = 0.0  # units/s; 0 while the customer is not throttled
     throttle_bucket: float = 0.0
 
     def __post_init__(self) -> None:
         """Fill the quota's buckets to the plan's burst.
 
-        The ceiling's bucket stays empty: a restarted gateway must assume that its part has been spent.
+        The ceiling's bucket stays empty: a restarted gateway must assume that its share has been spent.
         """
         self.even_share, self.refilled_at = 1.0 / max(1, self.set_size), self.seen_at
         self.bucket, self.shared_bucket = self.plan.burst * self.even_share, self.plan.burst
 
-    def add_tokens(self, elapsed: float, shared_rate: float, ceiling_rate: float, ceiling_max: float) -> None:
-        """Add the tokens of ``elapsed`` seconds to the buckets; an owned quota replaces their contents."""
-        shared = self.shared_bucket + shared_rate * elapsed
+    def add_tokens(self, elapsed_s: float, shared_rate: float, ceiling_rate: float, ceiling_max: float) -> None:
+        """Add the tokens of ``elapsed_s`` seconds to the buckets; an owned quota replaces their contents."""
+        shared = self.shared_bucket + shared_rate * elapsed_s
         self.shared_bucket = min(self.plan.burst, shared)
         self.overflow += shared - self.shared_bucket
-        self.ceiling_bucket = min(ceiling_max, self.ceiling_bucket + ceiling_rate * elapsed)
+        self.ceiling_bucket = min(ceiling_max, self.ceiling_bucket + ceiling_rate * elapsed_s)
         if self.owned_quota is not None:
             units, ceiling_units = self.owned_quota.available(self.refilled_at)
             if units < math.inf:
                 self.bucket = self.shared_bucket = units
             self.ceiling_bucket = ceiling_units if ceiling_units < math.inf else self.ceiling_bucket
-        self.throttle_bucket = min(1.0 + self.throttle_rate, self.throttle_bucket + self.throttle_rate * elapsed)
+        self.throttle_bucket = min(1.0 + self.throttle_rate, self.throttle_bucket + self.throttle_rate * elapsed_s)
 
     def decay_rates(self, factor: float, others: bool) -> None:
         """Decay the recent rates; that of other gateways only with ``others``, where no newer report replaces it."""
@@ -115,7 +116,7 @@
             self.owned_quota.want(now, units)
 
     def record_sent(self, units: float, rate: float) -> None:
-        """Deduct units that are sent on to a server from all buckets but the quota's."""
+        """Deduct units that are sent to a server from all buckets but the quota's."""
         self.ceiling_bucket, self.throttle_bucket = self.ceiling_bucket - units, self.throttle_bucket - units
         self.sent_rate += rate
         if self.owned_quota is not None:
@@ -139,20 +140,20 @@
     cold_tokens: float  # attempts that may be sent to the server while it is cold
     cold_tokens_at: float  # when ``cold_tokens`` was last brought up to date
     limit_cut_at: float = 0.0  # when the limit was last reduced
-    open_attempts: float = 0.0  # attempts of this gateway without an outcome yet
+    open_attempts: float = 0.0  # open attempts of this gateway
     other_load: float = 0.0  # requests of other gateways, from the server's last load report
-    reported_at: float = 0.0
-    slowness: float = 1.0  # smoothed latency over the fleet's
-    normalized_latency: float = 0.0  # smoothed latency over the aim of the request's class
-    measured_at: float = 0.0
+    reported_at: float = 0.0  # when the last load report came
+    slowness: float = 1.0  # smoothed ratio of latency to the latency expected of the fleet
+    normalized_latency: float = 0.0  # smoothed
+    measured_at: float = 0.0  # when ``slowness`` and ``normalized_latency`` were last updated
     last_sent_at: float = 0.0  # when the last attempt was sent; 0 if none was
     answer_at: float = 0.0  # when the last outcome came, or the first attempt was sent after a time with none open
     resets: int = 0  # consecutive connection resets
     ejections: int = 0  # consecutive ejections as an outlier
     ejected_until: float = 0.0
-    down_at: float = 0.0  # when a connection was last refused; 0 while the server is up
+    down_at: float = 0.0  # when a connection last failed; 0 while the server is up
     health: dict[int, tuple[float, float]] = field(default_factory=dict)  # by class: chance of success, when updated
-    cold_since: float | None = None
+    cold_since: float | None = None  # None while the server is warm
 
 
 @dataclass(eq=False)
@@ -172,7 +173,7 @@
     request_class: RequestClass
     customer: Customer
     accepted_at: float
-    useful_ms: float  # after this time an answer is worth nothing
+    useful_ms: float  # time after acceptance at which an answer becomes worthless
     attempts: list[Attempt] = field(default_factory=list)
     counted_units: float = 0.0  # units added to the shared counter for it
     granted: bool | None = None  # verdict of the bucket on the shared counter; None: not asked
@@ -183,7 +184,7 @@
     # Whether an attempt may have reached a server whole: only then does the request count against a quota.
     reached_server: bool = False
     ended: bool = False
-    overdue: bool = False  # its delay has already been counted as slow
+    overdue: bool = False  # whether its latency was already recorded, since its first attempt was overdue
 
     def start_attempt(self, server: ServerState, now: float) -> None:
         """Record a new attempt.
@@ -238,7 +239,7 @@
 
     @property
     def aim_at(self) -> float:
-        """When the class's latency aim is missed."""
+        """When the class's target latency has passed."""
         return self.accepted_at + self.request_class.aim_ms
 
     @property
@@ -248,7 +249,7 @@
 
     @property
     def useful_until(self) -> float:
-        """When an answer has lost all worth."""
+        """When an answer becomes worthless."""
         return self.accepted_at + self.useful_ms
 
     @property
@@ -290,12 +291,9 @@
     tracked_customers: dict[int, Customer] = field(default_factory=dict)  # by code: the busiest, tested for correlation
     active_customers: dict[int, Customer] = field(default_factory=dict)  # by code: those seen in the current interval
     unsent_units: dict[int, float] = field(default_factory=dict)  # by code: units not yet reported to peers
-    unsent_open_attempts: dict[int, int] = field(
-        default_factory=dict
-    )  # by code: open attempts not yet reported to peers
-    open_attempt_counts: dict[int, int] = field(
-        default_factory=dict
-    )  # by code: open attempts of customers with a cap on them
+    unsent_open_attempts: dict[int, int] = field(default_factory=dict)  # by code: counts not yet reported to peers
+    # By code, for customers with a limit on concurrent attempts that have open ones: how many.
+    open_attempt_counts: dict[int, int] = field(default_factory=dict)
     # By code: sum of all half units ever reported of a customer, modulo 256.
     sent_sums: dict[int, int] = field(default_factory=dict)
     received_sums: dict[tuple[int, int], int] = field(default_factory=dict)  # by peer and code: sums that peers sent
@@ -312,28 +310,29 @@
     counter_reply_at: float = -math.inf  # when a counter call last succeeded
     counter_failure_at: float = -math.inf  # when a counter call last failed
     pending_calls: dict[int, deque[CounterCall]] = field(default_factory=dict)  # by counter name
-    normalized_latencies: list[float] = field(default_factory=list)  # latency over aim of the latest answers
-    admit_shares: dict[int, float] = field(default_factory=dict)  # by code: percent of demand to admit
+    normalized_latencies: list[float] = field(default_factory=list)  # of the latest answers
+    admit_shares: dict[int, float] = field(default_factory=dict)  # by code: reported percentage of demand to admit
     warm_rate: float = 0.0  # attempts/s to one warm server
-    warm_sends: float = 0.0  # this and the next four are sums over the current interval
-    normalized_latency_sum: float = 0.0  # latency over aim of served attempts
+    # Sums over the current interval, as are the next four: attempts sent to warm servers in good health.
+    warm_sends: float = 0.0
+    normalized_latency_sum: float = 0.0  # of served attempts
     served_attempts: float = 0.0
     overload_outcomes: float = 0.0  # attempts that timed out or met a full server
     ended_attempts: float = 0.0  # attempts that ended, unless cancelled or never made
-    retry_budget: float = 0.0
-    overloaded: bool = False
-    interval_due: float = math.inf
-    stall_at: float = -math.inf  # when this process last found that it had not run for a while
-    mean_load: float = 0.0  # typical number of other gateways' requests at a server
+    retry_budget: float = 0.0  # tokens for retries
+    overloaded: bool = False  # whether the fleet is overloaded, by the test at the end of an interval
+    interval_due: float = math.inf  # when the timer of the current interval should expire
+    stall_at: float = -math.inf  # when this process last noticed that it had stalled
+    mean_load: float = 0.0  # smoothed number of other gateways' requests at a server
     healthy_servers: list[ServerState] = field(default_factory=list)  # servers that discovery lists as healthy
     all_slow: bool = False  # whether the fleet as a whole is slow
-    admission_rate: float = math.inf  # admission rate: requests/s that this gateway lets in
+    admission_rate: float = math.inf  # requests/s that this gateway admits
     initial_admission_rate: float = math.inf  # admission rate while nothing is known of the fleet
     admit_tokens: float = 2.0  # token bucket of the admission rate
     admit_tokens_at: float = 0.0  # when ``admit_tokens`` was last brought up to date
     open_attempts: float = 0.0  # open attempts at all servers
-    admitted: float = 0.0  # requests let in during the current interval
-    avg_admitted: float = 0.0  # smoothed number of requests let in an interval
+    admitted: float = 0.0  # requests admitted during the current interval
+    avg_admitted: float = 0.0  # smoothed number of requests admitted per interval
 
     def take_message_tokens(self, count: int, per_s: float) -> bool:
         """Take tokens for ``count`` messages to single peers, if there are enough; at most one second's are saved."""
