--- a/petrelhall/decide/interface.py
+++ b/petrelhall/decide/interface.py
@@ -40,12 +40,12 @@
     """One class of requests; ``group`` and ``window_ms`` apply to keyed requests only."""
 
     effect: Effect
-    aim_ms: float
+    aim_ms: float  # target latency
     deadline_ms: float
     worth: float = 1.0
-    late_worth: float = 0.0
-    group: str = "all"
-    window_ms: float = 0.0
+    late_worth: float = 0.0  # 0: an answer after the target latency is worth nothing
+    group: str = "all"  # which servers share a key: all, or those with the same value of this attribute of Server
+    window_ms: float = 0.0  # time in which servers recognize a key
     streamed: bool = False
 
 
@@ -53,14 +53,14 @@
 class Plan:
     """The limits of one customer, across all gateways together; 0 means no such limit."""
 
-    rate: float
-    burst: float
-    max_open: int = 0
+    rate: float  # quota, units/s
+    burst: float  # size of the quota's token bucket, units
+    max_open: int = 0  # limit on concurrent attempts
     price: float = 1.0
     over_worth: float = 0.0
     over_cost: float = 0.0
-    ceiling_rate: float = 0.0
-    ceiling_burst: float = 0.0
+    ceiling_rate: float = 0.0  # units/s
+    ceiling_burst: float = 0.0  # size of the ceiling's token bucket, units
     ceiling_slack: float = 0.0
 
 
@@ -70,7 +70,7 @@
 
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    position: int = 0
+    position: int = 0  # this gateway's number among the gateways
     gateways: int = 1
     zone: int = 0
     subscribe: bool = False
@@ -86,15 +86,15 @@
     peer_messages_per_s: float = 0.0
     counter: bool = False
     counter_wait_ms: float = 0.0
-    meter_ms: float = 0.0
-    largest_units: float = 1.0
+    meter_ms: float = 0.0  # period of the meter of customers' use; 0: there is none
+    largest_units: float = 1.0  # most units that one request takes
     cost_after: bool = False
     max_retry_after_ms: float = 0.0  # 0: clients ignore Retry-After
     drain_grace_ms: float = 0.0
-    cold_from: float = 1.0
-    cold_ms: float = 0.0
-    overload_factor: float = 1.0
-    fall_ms: float = 1000.0
+    cold_from: float = 1.0  # share of a warm server's work that a server can do when it starts
+    cold_ms: float = 0.0  # time after its start in which a server becomes warm
+    overload_factor: float = 1.0  # load that overloads a server within ``fall_ms``, over that of a warm server
+    fall_ms: float = 1000.0  # time in which such a load overloads a server
     cross_zone_price: float = 0.0
     handshake_price: float = 0.0
 
--- a/petrelhall/decide/policy.py
+++ b/petrelhall/decide/policy.py
@@ -78,7 +78,7 @@
 TARGETED_BUDGET_SHARE = 0.75
 # Time after which an idle customer is forgotten, so that memory stays bounded.
 IDLE_CUSTOMER_TTL_MS = 15000.0
-# Admitted shares reported by peers that are kept, so that memory stays bounded.
+# Most admitted shares reported by peers that are kept, so that memory stays bounded.
 MAX_SHARES = 10000
 # Least share of requests that call the counter.
 COUNTER_SAMPLING_MIN = 0.1
@@ -843,7 +843,7 @@
             customer = Customer(plan, event.set_size, code, self.now, self.now - USAGE_REPORT_TTL_MS, event.set_first)
             reported_share = self.admit_shares.get(code, 100.0) / 100.0
             customer.admit_share = reported_share if self.uses_counter or self.uses_meter else customer.even_share
-            # If messages from peers have been received for a while, the bucket is full less what they reported of the customer.
+            # If messages from peers have been received for a while, the bucket is full less the use that they reported.
             if self.uses_peers:
                 peers_known = self.initial_fill.confirmed or self.now - self.started > USAGE_REPORT_TTL_MS
                 peers_known = peers_known and self.now - self.peer_message_at < USAGE_REPORT_TTL_MS
