--- a/petrelhall/decide/snapshot.py
+++ b/petrelhall/decide/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshot of a gateway's state that one process hands to its successor at an upgrade. Pure.
+"""Snapshot of a gateway's state that one process hands to its successor at an upgrade. No input or output.
 
 A snapshot holds plain values only, so that any file format can carry it. One that is malformed, or was made under
 other settings, is refused as a whole (SnapshotError). Requests in flight are not part of it: they end in the process
@@ -22,13 +22,13 @@
     "set_size",
     "set_first",
     "seen_at",
-    "others_at",
-    "filled_at",
+    "others_reported_at",
+    "refilled_at",
     "bucket",
     "shared_bucket",
     "overflow",
     "admit_share",
-    "cap",
+    "ceiling_bucket",
     "demand",
     "sent_rate",
     "others_rate",
@@ -46,9 +46,9 @@
     "other_load",
     "reported_at",
     "slowness",
-    "delay",
+    "normalized_latency",
     "measured_at",
-    "sent",
+    "last_sent_at",
     "answer_at",
     "ejected_until",
     "down_at",
@@ -56,16 +56,16 @@
 )
 GATEWAY_FIELDS = (
     "started",
-    "peer_news_at",
-    "ask_share",
-    "reply_at",
-    "no_reply_at",
+    "peer_message_at",
+    "counter_sampling_share",
+    "counter_reply_at",
+    "counter_failure_at",
     "warm_rate",
     "mean_load",
     "retry_budget",
-    "rate",
+    "admission_rate",
     "admit_tokens",
-    "filled_at",
+    "admit_tokens_at",
     "avg_admitted",
 )
 INTEGER_FIELDS = {"set_size", "set_first"}  # set by the constructor of Customer
@@ -81,10 +81,14 @@
 
 
 def take(
-    state: GatewayState, settings: Settings, latency: list[float], faults: list[float], served: tuple[Plan, ...] = ()
+    state: GatewayState,
+    settings: Settings,
+    latency: list[float],
+    failure_rates: list[float],
+    active_plans: tuple[Plan, ...] = (),
 ) -> dict[str, Any]:
-    """Return a snapshot of the current state; ``served`` are the plans in use where they differ from the settings'."""
-    plans = {id(plan): index for index, plan in enumerate(served or settings.plans)}
+    """Return a snapshot of the current state; ``active_plans`` are the plans in use, if not those of the settings."""
+    plans = {id(plan): index for index, plan in enumerate(active_plans or settings.plans)}
     latest = sorted(state.customers.items(), key=lambda named: named[1].seen_at)[-MAX_CUSTOMERS:]
     return {
         "form": FORMAT_VERSION,
@@ -92,16 +96,16 @@
         "at": state.now,
         "memory": read_fields(state, GATEWAY_FIELDS),
         "latency": latency,
-        "faults": faults,
-        "waits": state.delays,
+        "faults": failure_rates,
+        "waits": state.normalized_latencies,
         "customers": {
             name: [
                 plans[id(customer.plan)],
                 *read_fields(customer, CUSTOMER_FIELDS),
                 customer.use_known,
-                customer.total_name,
-                customer.open,
-                [[peer, count, at] for peer, (count, at) in customer.peers_open.items()],
+                customer.counter_total_name,
+                customer.open_attempts,
+                [[peer, count, at] for peer, (count, at) in customer.peer_open_attempts.items()],
             ]
             for name, customer in latest
             if id(customer.plan) in plans
@@ -112,7 +116,7 @@
             address: [
                 *read_fields(server, SERVER_FIELDS),
                 server.ejections,
-                [[class_index, good, at] for class_index, (good, at) in server.health.items()],
+                [[class_index, success_chance, at] for class_index, (success_chance, at) in server.health.items()],
             ]
             for address, server in state.servers.items()
         },
@@ -120,7 +124,7 @@
 
 
 def restore(state: GatewayState, settings: Settings, data: Any, now: float) -> tuple[list[float], list[float]]:
-    """Load a snapshot into ``state``, and return the latency and the share of faults by class.
+    """Load a snapshot into ``state``, and return the latency per unit (ms) and the failure rate, each by class.
 
     Raises SnapshotError, with ``state`` unchanged. Attempts that the other process has open count as those of a peer
     reported now, which soon expire.
@@ -133,8 +137,8 @@
             for name, values in data["customers"].items()
         }
         gateway_values = parse_numbers(data["memory"], len(GATEWAY_FIELDS))
-        latency, faults = (parse_numbers(data[name], len(settings.classes)) for name in ("latency", "faults"))
-        delays = parse_numbers(data["waits"], None)
+        latency, failure_rates = (parse_numbers(data[name], len(settings.classes)) for name in ("latency", "faults"))
+        normalized_latencies = parse_numbers(data["waits"], None)
         unknown_use = {
             int(code): [tuple(parse_numbers(entry, 2)) for entry in used] for code, used in data["strangers"].items()
         }
@@ -153,20 +157,20 @@
         customer.owned_quota = state.quota_owner.account(customer, now) if state.quota_owner is not None else None
     for name, value in zip(GATEWAY_FIELDS, gateway_values, strict=True):
         setattr(state, name, value)
-    state.delays, state.admit_shares = delays, admit_shares
+    state.normalized_latencies, state.admit_shares = normalized_latencies, admit_shares
     state.unknown_use = {code: [(at, units) for at, units in used] for code, used in unknown_use.items()}
     for address, (values, ejections, health) in servers.items():
         server = state.servers[address]
         for name, value in zip(SERVER_FIELDS, values, strict=True):
             setattr(server, name, None if name == "cold_since" and value == -math.inf else value)
         server.ejections, server.health = ejections, health
-    return latency, faults
+    return latency, failure_rates
 
 
 def parse_customer(settings: Settings, code: int, values: Any, now: float) -> Customer:
     """Return a customer from its stored list."""
     plan = values[0]
-    use_known, total_name, open_attempts, peers_open = values[-4:]
+    use_known, counter_total_name, open_attempts, peer_open_attempts = values[-4:]
     if not 0 <= plan < len(settings.plans):
         raise SnapshotError(f"unknown plan {plan}")
     numbers = dict(zip(CUSTOMER_FIELDS, parse_numbers(values[1:-4], len(CUSTOMER_FIELDS)), strict=True))
@@ -175,16 +179,18 @@
         int(numbers["set_size"]),
         code,
         numbers["seen_at"],
-        numbers["others_at"],
+        numbers["others_reported_at"],
         int(numbers["set_first"]),
     )
     for name, value in numbers.items():
         if name not in INTEGER_FIELDS:
             setattr(customer, name, value)
-    customer.use_known, customer.total_name = bool(use_known), int(total_name)
-    customer.peers_open = {int(peer): (parse_number(count), parse_number(at)) for peer, count, at in peers_open}
+    customer.use_known, customer.counter_total_name = bool(use_known), int(counter_total_name)
+    customer.peer_open_attempts = {
+        int(peer): (parse_number(count), parse_number(at)) for peer, count, at in peer_open_attempts
+    }
     if open_attempts:
-        customer.peers_open[settings.position] = parse_number(open_attempts), now
+        customer.peer_open_attempts[settings.position] = parse_number(open_attempts), now
     return customer
 
 
@@ -192,7 +198,11 @@
     """Return a server's fields, ejections and health by class from its stored list."""
     numbers = parse_numbers(values[: len(SERVER_FIELDS)], len(SERVER_FIELDS))
     ejections, health = values[len(SERVER_FIELDS) :]
-    return numbers, int(ejections), {int(index): (parse_number(good), parse_number(at)) for index, good, at in health}
+    return (
+        numbers,
+        int(ejections),
+        {int(index): (parse_number(success_chance), parse_number(at)) for index, success_chance, at in health},
+    )
 
 
 def read_fields(record: object, names: tuple[str, ...]) -> list[float | None]:
