--- a/tests/peers.py
+++ b/tests/peers.py
@@ -18,9 +18,9 @@
 from collections.abc import Iterator
 from typing import Any
 
-PATIENCE_S = 10.0
+WAIT_TIMEOUT_S = 10.0
 KINDS = {"view": "repeatable", "change": "by_key"}
-PROFILE: dict[str, Any] = {
+TEST_SETTINGS: dict[str, Any] = {
     "Areas": ["a"],
     "Balancers": 1,
     "Grades": [
@@ -48,13 +48,13 @@
 }
 
 
-def listen() -> socket.socket:
+def open_listener() -> socket.socket:
     listener = socket.create_server(("127.0.0.1", 0), backlog=64)
-    listener.settimeout(PATIENCE_S)
+    listener.settimeout(WAIT_TIMEOUT_S)
     return listener
 
 
-def address(sock: socket.socket) -> str:
+def format_address(sock: socket.socket) -> str:
     host, port = sock.getsockname()
     return f"{host}:{port}"
 
@@ -77,12 +77,12 @@
     return head + b"\r\n\r\n" + body
 
 
-def reply(body: bytes, status: str = "200 OK", *headers: str) -> bytes:
+def build_response(body: bytes, status: str = "200 OK", *headers: str) -> bytes:
     lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-def ask(number: int = 1, kind: str = "view", deadline: str = "6000m", **changes: str | None) -> bytes:
+def build_request(number: int = 1, kind: str = "view", deadline: str = "6000m", **changes: str | None) -> bytes:
     """Word a client's request; a header can be changed, or left out with None."""
     headers: dict[str, str | None] = {
         "Host": "service",
@@ -97,7 +97,7 @@
     return "\r\n".join(["GET /api?client=00000000b4d65521 HTTP/1.1", *lines]).encode() + b"\r\n\r\n"
 
 
-def entry(name: str, where: str, state: str = "Ready") -> dict[str, Any]:
+def server_entry(name: str, where: str, state: str = "Ready") -> dict[str, Any]:
     return {
         "id": name,
         "addr": where,
@@ -110,7 +110,7 @@
     }
 
 
-class Story(unittest.TestCase):
+class GatewayTestCase(unittest.TestCase):
     """Starts the program with scripted servers round it, and ends all of it."""
 
     def setUp(self) -> None:
@@ -121,33 +121,33 @@
         self.stack.enter_context(unittest.mock.patch.dict(os.environ, {"TMPDIR": scratch}))
 
     def listener(self) -> socket.socket:
-        return self.stack.enter_context(listen())
+        return self.stack.enter_context(open_listener())
 
     def start(
         self, *servers: socket.socket, sockets: int = 1024, arguments: tuple[str, ...] = (), **config: Any
     ) -> subprocess.Popen[str]:
-        with listen() as free:
+        with open_listener() as free:
             self.where = free.getsockname()
-        listed = [entry(f"s{n}", address(server)) for n, server in enumerate(servers)]
+        listed = [server_entry(f"s{n}", format_address(server)) for n, server in enumerate(servers)]
         whole = {
             "name": "n0",
             "listen": f"{self.where[0]}:{self.where[1]}",
             "discovery": "127.0.0.1:1",
             "seed": "2a",
             "limits": {"sockets": sockets},
-            "settings": PROFILE,
+            "settings": TEST_SETTINGS,
             "known": {"version": 1, "full": True, "servers": listed},
         } | config
         folder = self.stack.enter_context(tempfile.TemporaryDirectory())
         self.path = path = os.path.join(folder, "config.json")
         with open(path, "w") as file:
             json.dump(whole, file)
-        self.whole = whole
+        self.config = whole
         command = [sys.executable, "-m", "petrelhall", *arguments]
         self.program = subprocess.Popen(
             command, env={**os.environ, "EDGE_CONFIG": path}, text=True, stderr=subprocess.PIPE
         )
-        self.stack.callback(self.end)
+        self.stack.callback(self.kill_gateway)
         return self.program
 
     def reload(self, content: str) -> None:
@@ -156,10 +156,10 @@
             file.write(content)
         self.program.send_signal(signal.SIGHUP)
 
-    def heard(self, pattern: str) -> str:
+    def wait_for_log(self, pattern: str) -> str:
         """Wait until the program has written a line that a pattern is found in."""
         assert self.program.stderr is not None
-        timer = threading.Timer(PATIENCE_S, self.program.kill)  # ends the wait
+        timer = threading.Timer(WAIT_TIMEOUT_S, self.program.kill)  # ends the wait
         timer.start()
         lines = []
         for line in self.program.stderr:
@@ -169,24 +169,24 @@
                 return line
         raise AssertionError(f"{pattern!r} not in {lines}")
 
-    def end(self) -> None:
+    def kill_gateway(self) -> None:
         if self.program.poll() is None:
             self.program.kill()
-        self.program.communicate(timeout=PATIENCE_S)
+        self.program.communicate(timeout=WAIT_TIMEOUT_S)
 
     def stop(self) -> str:
         """End the program as planned, and give what it wrote."""
         self.program.send_signal(signal.SIGTERM)
-        _, errors = self.program.communicate(timeout=PATIENCE_S)
+        _, errors = self.program.communicate(timeout=WAIT_TIMEOUT_S)
         self.assertEqual(self.program.returncode, 0, errors)
         return errors
 
     def client(self, *data: bytes) -> socket.socket:
         """Connect, as soon as the program listens, and say something."""
-        until = time.monotonic() + PATIENCE_S
+        until = time.monotonic() + WAIT_TIMEOUT_S
         while True:
             try:
-                sock = self.stack.enter_context(socket.create_connection(self.where, PATIENCE_S))
+                sock = self.stack.enter_context(socket.create_connection(self.where, WAIT_TIMEOUT_S))
                 break
             except ConnectionRefusedError:
                 if time.monotonic() > until or self.program.poll() is not None:
@@ -198,14 +198,14 @@
 
     def accept(self, listener: socket.socket) -> socket.socket:
         sock = self.stack.enter_context(listener.accept()[0])
-        sock.settimeout(PATIENCE_S)
+        sock.settimeout(WAIT_TIMEOUT_S)
         return sock
 
     @contextlib.contextmanager
-    def beside(self, work: Any) -> Iterator[threading.Thread]:
+    def run_alongside(self, work: Any) -> Iterator[threading.Thread]:
         """Run a scripted peer beside the story, and wait for it."""
         thread = threading.Thread(target=work, daemon=True)
         thread.start()
         yield thread
-        thread.join(PATIENCE_S)
+        thread.join(WAIT_TIMEOUT_S)
         self.assertFalse(thread.is_alive())
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -17,7 +17,7 @@
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, Steps, now_ms
 from petrelhall.net.stream import Stream
-from tests.peers import PATIENCE_S, Story, ask, read_message, reply
+from tests.peers import WAIT_TIMEOUT_S, GatewayTestCase, build_request, build_response, read_message
 
 RESET = struct.pack("ii", 1, 0)
 
@@ -25,7 +25,9 @@
 def post(length: int | None, number: int = 1, **headers: str) -> bytes:
     """Word the head of a keyed request with a body of some length, or in chunks."""
     framing = {"Transfer_Encoding": "chunked"} if length is None else {"Content_Length": str(length)}
-    return ask(number, "change", Idempotency_Key=f"k{number}", **framing, **headers).replace(b"GET", b"POST", 1)
+    return build_request(number, "change", Idempotency_Key=f"k{number}", **framing, **headers).replace(
+        b"GET", b"POST", 1
+    )
 
 
 def chunk(data: bytes) -> bytes:
@@ -65,7 +67,7 @@
         stream = Stream(loop, sock, lambda: None)
         stream.keep = 1000
         peer.sendall(b"x" * 50000)
-        until = time.monotonic() + PATIENCE_S
+        until = time.monotonic() + WAIT_TIMEOUT_S
         while len(stream.incoming) <= stream.keep and time.monotonic() < until:
             loop.turn()
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
@@ -76,7 +78,7 @@
         self.assertTrue(stream.ended)
 
 
-class Bodies(Story):
+class Bodies(GatewayTestCase):
     """Large bodies reach a server as they were sent, once."""
 
     def read_body(self, sock: socket.socket) -> tuple[bytes, bytes]:
@@ -104,16 +106,16 @@
         self.start(server)
         body = bytes(range(256)) * 12000
         client = self.client(post(len(body)))
-        with self.beside(lambda: client.sendall(body)):
+        with self.run_alongside(lambda: client.sendall(body)):
             at_server = self.accept(server)
             head, came = self.read_body(at_server)
         self.assertEqual(came, body)
         self.assertIn(b"content-length: %d" % len(body), head.lower())
-        at_server.sendall(reply(b"done"))
+        at_server.sendall(build_response(b"done"))
         self.assertTrue(read_message(client).endswith(b"done"))
-        client.sendall(ask(2))  # the connection goes on
+        client.sendall(build_request(2))  # the connection goes on
         read_message(at_server)
-        at_server.sendall(reply(b"next"))
+        at_server.sendall(build_response(b"next"))
         self.assertTrue(read_message(client).endswith(b"next"))
         self.assertIn("answered.bodies_passed_on=1", self.stop())
 
@@ -121,10 +123,10 @@
         server = self.listener()
         self.start(server)
         client = self.client(post(2 << 20, deadline="1000m"))
-        with self.beside(lambda: [(client.sendall(b"x" * (1 << 18)), time.sleep(0.2)) for _ in range(8)]):
+        with self.run_alongside(lambda: [(client.sendall(b"x" * (1 << 18)), time.sleep(0.2)) for _ in range(8)]):
             at_server = self.accept(server)
             self.read_body(at_server)
-        at_server.sendall(reply(b"done"))
+        at_server.sendall(build_response(b"done"))
         self.assertTrue(read_message(client).endswith(b"done"))
 
     def test_a_kept_body_gives_its_room_back_with_its_answer(self) -> None:
@@ -136,7 +138,7 @@
             if client is not first:
                 client.sendall(post(150000, 2) + b"x" * 150000)
             self.read_body(at_server)
-            at_server.sendall(reply(b"done"))
+            at_server.sendall(build_response(b"done"))
             self.assertTrue(read_message(client).endswith(b"done"))
         self.assertNotIn("bodies_passed_on", self.stop())
 
@@ -158,7 +160,7 @@
 
         request_handler = RequestHandler(loop, tell, Servers(), Counts(), 0.0)
         loop.spawn(request_handler.serve(Request(0, 0, "a", 5000.0, 1.0, 1, False, None), Caller()))
-        until = time.monotonic() + PATIENCE_S
+        until = time.monotonic() + WAIT_TIMEOUT_S
         while len(told) < 2 and time.monotonic() < until:
             loop.turn()
         self.assertLess(told[1].latency_ms, 100.0)
@@ -168,14 +170,14 @@
         self.start(server)
         body = b"c" * (2 << 20)
         client = self.client(post(None, Expect="100-continue"))
-        client.settimeout(PATIENCE_S)
+        client.settimeout(WAIT_TIMEOUT_S)
         self.assertTrue(client.recv(64).startswith(b"HTTP/1.1 100"))
         pieces = b"".join(chunk(body[at : at + 50000]) for at in range(0, len(body), 50000))
-        with self.beside(lambda: client.sendall(pieces + b"0\r\nX-Sum: 1\r\n\r\n")):
+        with self.run_alongside(lambda: client.sendall(pieces + b"0\r\nX-Sum: 1\r\n\r\n")):
             at_server = self.accept(server)
             _, came = self.read_body(at_server)
         self.assertEqual(came, body)
-        at_server.sendall(reply(b"done"))
+        at_server.sendall(build_response(b"done"))
         self.assertTrue(read_message(client).endswith(b"done"))
 
     def test_a_body_that_is_kept_goes_again_whole_where_a_server_did_not_run_it(self) -> None:
@@ -185,15 +187,15 @@
         client = self.client(post(len(body)), body)
         first = self.either(servers)
         self.assertEqual(self.read_body(first)[1], body)
-        first.sendall(reply(b"", "503 Busy", "X-Not-Run: 1"))
+        first.sendall(build_response(b"", "503 Busy", "X-Not-Run: 1"))
         second = self.either(servers)
         self.assertEqual(self.read_body(second)[1], body)
-        second.sendall(reply(b"done"))
+        second.sendall(build_response(b"done"))
         self.assertTrue(read_message(client).endswith(b"done"))
 
     def either(self, servers: list[socket.socket]) -> socket.socket:
         """Accept at whichever server is connected to."""
-        until = time.monotonic() + PATIENCE_S
+        until = time.monotonic() + WAIT_TIMEOUT_S
         for server in servers:
             server.settimeout(0.02)
         while time.monotonic() < until:
@@ -213,7 +215,7 @@
                 at_server = self.either(servers)
                 at_server.recv(65536)
                 if way == "early":
-                    at_server.sendall(reply(b"", "503 Busy", "X-Not-Run: 1", "Connection: close"))
+                    at_server.sendall(build_response(b"", "503 Busy", "X-Not-Run: 1", "Connection: close"))
                 else:
                     at_server.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
                     at_server.close()
@@ -235,7 +237,7 @@
         client = self.client(post(4 << 20), b"x" * (2 << 20))
         at_server = self.accept(server)
         came = 0
-        at_server.settimeout(2 * PATIENCE_S)
+        at_server.settimeout(2 * WAIT_TIMEOUT_S)
         while more := at_server.recv(1 << 20):
             came += len(more)
         self.assertLess(came, 4 << 20)
@@ -254,7 +256,7 @@
             except OSError:
                 pass  # the gateway reads no more
 
-        with self.beside(send):
+        with self.run_alongside(send):
             at_server = self.accept(server)
             while at_server.recv(1 << 20):
                 pass
@@ -265,7 +267,7 @@
         server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
         self.start(server)
         client = self.client(post(32 << 20))
-        self.client(ask(9))  # others are served meanwhile
+        self.client(build_request(9))  # others are served meanwhile
         client.settimeout(1.0)
         sent = 0
         with self.assertRaises(TimeoutError):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -13,7 +13,15 @@
 from petrelhall.boxes.fleet import Fleet
 from petrelhall.control.bans import Bans, BansError, decode
 from petrelhall.control.calls import Call, Wrong, read_call
-from tests.peers import PATIENCE_S, Story, ask, entry, listen, read_message, reply
+from tests.peers import (
+    WAIT_TIMEOUT_S,
+    GatewayTestCase,
+    build_request,
+    build_response,
+    open_listener,
+    read_message,
+    server_entry,
+)
 
 
 class Calls(unittest.TestCase):
@@ -61,7 +69,11 @@
 
     def test_a_server_taken_out_drains_whatever_discovery_says_and_comes_back_cold(self) -> None:
         fleet = Fleet(("a",))
-        listing = {"version": 1, "full": True, "servers": [entry("s0", "127.0.0.1:9"), entry("s1", "127.0.0.1:8")]}
+        listing = {
+            "version": 1,
+            "full": True,
+            "servers": [server_entry("s0", "127.0.0.1:9"), server_entry("s1", "127.0.0.1:8")],
+        }
         fleet.take(listing)
         fleet.bans.say("s0", True, 1000.0)
         phases = {server.address: server.phase for server in fleet.take(listing).servers}
@@ -76,24 +88,24 @@
 
 def call(where: tuple[str, int], method: str, path: str) -> int:
     """Make one management call and give its status."""
-    with socket.create_connection(where, PATIENCE_S) as sock:
+    with socket.create_connection(where, WAIT_TIMEOUT_S) as sock:
         sock.sendall(f"{method} {path} HTTP/1.1\r\nHost: gw\r\nContent-Length: 0\r\n\r\n".encode())
         return int(read_message(sock).split(b" ", 2)[1])
 
 
-class Listener(Story):
+class Listener(GatewayTestCase):
     """A gateway with its management listener, round scripted servers."""
 
     def setUp(self) -> None:
         super().setUp()
         folder = self.stack.enter_context(tempfile.TemporaryDirectory())
         self.stack.enter_context(unittest.mock.patch.dict(os.environ, {"TMPDIR": folder}))
-        with listen() as free:
+        with open_listener() as free:
             self.mgmt = free.getsockname()
 
     def begin(self, *servers: socket.socket) -> None:
         self.start(*servers, mgmt=address_of(self.mgmt))
-        until = time.monotonic() + PATIENCE_S
+        until = time.monotonic() + WAIT_TIMEOUT_S
         while True:
             try:
                 if call(self.mgmt, "GET", "/control/ready") == 200:
@@ -106,7 +118,7 @@
 
     def test_calls_are_answered_within_a_second_though_many_say_nothing_or_half(self) -> None:
         self.begin(self.listener())
-        silent = [self.stack.enter_context(socket.create_connection(self.mgmt, PATIENCE_S)) for _ in range(40)]
+        silent = [self.stack.enter_context(socket.create_connection(self.mgmt, WAIT_TIMEOUT_S)) for _ in range(40)]
         for sock in silent[::2]:
             sock.sendall(b"POST /control/serv")
         for method, path, status in (
@@ -135,12 +147,12 @@
                 clients, held = [], []
                 for _ in range(3):
                     number += 1
-                    clients.append(self.client(ask(number)))
-                    chosen = ready.select(PATIENCE_S)[0][0].fileobj
+                    clients.append(self.client(build_request(number)))
+                    chosen = ready.select(WAIT_TIMEOUT_S)[0][0].fileobj
                     held.append((chosen, self.accept(chosen)))  # type: ignore[arg-type]
                 for (_, at_server), client in zip(held, clients, strict=True):
                     read_message(at_server)
-                    at_server.sendall(reply(b"ok", "200 OK", "Connection: close"))
+                    at_server.sendall(build_response(b"ok", "200 OK", "Connection: close"))
                     self.assertTrue(read_message(client).endswith(b"ok"))
                 if any(chosen is first for chosen, _ in held):
                     return
@@ -158,10 +170,10 @@
         """Have a few requests served, each by one server and none by the other."""
         instead_of.settimeout(0.3)
         for number in range(1, 5):
-            client = self.client(ask(number))
+            client = self.client(build_request(number))
             at_server = self.accept(server)
             read_message(at_server)
-            at_server.sendall(reply(b"ok", "200 OK", "Connection: close"))
+            at_server.sendall(build_response(b"ok", "200 OK", "Connection: close"))
             self.assertTrue(read_message(client).endswith(b"ok"))
         with self.assertRaises(TimeoutError):
             instead_of.accept()
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -23,7 +23,7 @@
 from petrelhall.standins.network import Network
 from petrelhall.standins.strikes import Play, Strike, drawn
 from petrelhall.standins.world import settings as platform
-from tests.peers import PATIENCE_S, Story, address
+from tests.peers import WAIT_TIMEOUT_S, GatewayTestCase, format_address
 
 FAULTS = Play(
     strikes=(
@@ -122,7 +122,7 @@
             for _ in range(3):
                 socks[2].sendto(b"word", network.senders[0].getsockname())
             got: list[list[bytes]] = [[], [], []]
-            until = time.monotonic() + PATIENCE_S
+            until = time.monotonic() + WAIT_TIMEOUT_S
             while time.monotonic() < until and (sum(map(len, got)) < 5 or network.seen["lost"] < 3):
                 await asyncio.sleep(0.01)
                 for number, sock in enumerate(socks):
@@ -137,7 +137,7 @@
         asyncio.run(play())
 
 
-class Views(Story):
+class Views(GatewayTestCase):
     """One gateway with membership on, asked by operators."""
 
     @contextlib.contextmanager
@@ -146,7 +146,7 @@
         with socket.socket() as free, socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as mail:
             free.bind(("127.0.0.1", 0))
             mail.bind(("127.0.0.1", 0))
-            mgmt, own = address(free), address(mail)
+            mgmt, own = format_address(free), format_address(mail)
         operator = self.stack.enter_context(tempfile.NamedTemporaryFile("w", suffix=".json"))
         json.dump({"members": {"on": True}}, operator)
         operator.flush()
@@ -179,7 +179,7 @@
 
     def asked(self, mgmt: str) -> Any:
         """Ask until the listener answers."""
-        until = time.monotonic() + PATIENCE_S
+        until = time.monotonic() + WAIT_TIMEOUT_S
         while True:
             result = CliRunner().invoke(main, ["members", mgmt, "--json"])
             if result.exit_code == 0 or time.monotonic() > until:
@@ -190,7 +190,7 @@
         self.assertEqual(File().members, Membership(on=False))
         limits = platform(2, 0, 1500.0)["Limits"] | {"MayTell": False}
         with self.gateway(Limits=limits) as mgmt:
-            until = time.monotonic() + PATIENCE_S
+            until = time.monotonic() + WAIT_TIMEOUT_S
             result = CliRunner().invoke(main, ["members", mgmt])
             while "refused" in result.output and time.monotonic() < until:
                 time.sleep(0.02)
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -19,11 +19,11 @@
 from petrelhall.gateway.learning import SharedChecks
 from petrelhall.operator.file import OperatorError, parse
 from petrelhall.operator.settings import Shared
-from tests.peers import PATIENCE_S, Story, ask, read_message, reply
+from tests.peers import WAIT_TIMEOUT_S, GatewayTestCase, build_request, build_response, read_message
 from tests.test_replica import Fleet
 
 
-class Serving(Story):
+class Serving(GatewayTestCase):
     """One gateway before one server, which notes what it is told of versions."""
 
     def runTest(self) -> None:  # noqa: N802
@@ -41,12 +41,12 @@
 
     def answer(self, sock: socket.socket) -> None:
         """Answer on one connection until its end."""
-        sock.settimeout(PATIENCE_S)
+        sock.settimeout(WAIT_TIMEOUT_S)
         try:
             while message := read_message(sock):
                 found = re.search(rb"x-policy: (.*)\r\n", message, re.IGNORECASE)
                 self.stamps.append(found[1].decode() if found else "")
-                sock.sendall(reply(b"ok"))
+                sock.sendall(build_response(b"ok"))
         except OSError:
             pass
         finally:
@@ -64,13 +64,13 @@
 
     def status(self, number: int = 1) -> int:
         """Make one request, and give the status of its answer."""
-        with self.client(ask(number)) as sock:
-            sock.settimeout(PATIENCE_S)
+        with self.client(build_request(number)) as sock:
+            sock.settimeout(WAIT_TIMEOUT_S)
             return int(read_message(sock).split(b" ")[1])
 
     def view(self) -> dict[str, Any]:
         """Ask the gateway what it has learned."""
-        line = http.client.HTTPConnection(self.management, timeout=PATIENCE_S)
+        line = http.client.HTTPConnection(self.management, timeout=WAIT_TIMEOUT_S)
         try:
             line.request("GET", "/control/configuration")
             found: dict[str, Any] = json.loads(line.getresponse().read())
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -38,7 +38,17 @@
 from petrelhall.net.loop import Loop, Task, now_ms
 from petrelhall.net.stream import Stream
 from petrelhall.operator.settings import Links
-from tests.peers import PATIENCE_S, PROFILE, Story, address, ask, entry, listen, read_message, reply
+from tests.peers import (
+    TEST_SETTINGS,
+    WAIT_TIMEOUT_S,
+    GatewayTestCase,
+    build_request,
+    build_response,
+    format_address,
+    open_listener,
+    read_message,
+    server_entry,
+)
 
 ASKED = ForwardedRequest(Message(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
 HEALTH = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -58,10 +68,10 @@
         self.addCleanup(self.stack.close)
         self.notes: list[str] = []
         self.loop, self.counts, self.fleet = Loop(self.notes.append), Counts(), Fleet(("a",))
-        self.server = self.stack.enter_context(listen())
+        self.server = self.stack.enter_context(open_listener())
         self.server.setblocking(False)
-        self.fleet.take({"version": 1, "full": True, "servers": [entry("s0", address(self.server))]})
-        self.settings = read_settings(PROFILE)
+        self.fleet.take({"version": 1, "full": True, "servers": [server_entry("s0", format_address(self.server))]})
+        self.settings = read_settings(TEST_SETTINGS)
         self.platform = Platform(self.settings, ("view", "change"), ("plan",))
         self.plan = Plan(Links(), 10, 30000.0)
         self.pool = Pool(self.loop, self.fleet, self.platform, self.counts, self.plan, 5000.0)
@@ -96,14 +106,14 @@
             self.stack.enter_context(unittest.mock.patch.object(module, name, value))
 
     def turn_until(self, done: Any) -> None:
-        until = now_ms() + PATIENCE_S * 1000.0
+        until = now_ms() + WAIT_TIMEOUT_S * 1000.0
         while not done():
             self.assertLess(now_ms(), until, f"nothing came of it: {self.counts} {self.notes}")
             self.loop.after(5.0, lambda: None)
             self.loop.turn()
 
     def client(self, *data: bytes) -> socket.socket:
-        sock = self.stack.enter_context(socket.create_connection(self.where, PATIENCE_S))
+        sock = self.stack.enter_context(socket.create_connection(self.where, WAIT_TIMEOUT_S))
         for piece in data:
             sock.sendall(piece)
         sock.setblocking(False)
@@ -159,9 +169,9 @@
             socket.create_connection(server.getsockname()),
         ):
             self.server = server
-            self.fleet.take({"version": 2, "full": True, "servers": [entry("s0", address(server))]})
+            self.fleet.take({"version": 2, "full": True, "servers": [server_entry("s0", format_address(server))]})
             yield
-            server.settimeout(PATIENCE_S)
+            server.settimeout(WAIT_TIMEOUT_S)
             server.accept()[0].close()
             self.turn_until(lambda: self.results)
             for _ in range(4):
@@ -193,7 +203,7 @@
             socket.create_server(("127.0.0.1", 0), backlog=0) as server,
             socket.create_connection(server.getsockname()),
         ):
-            self.fleet.take({"version": 2, "full": True, "servers": [entry("s0", address(server))]})
+            self.fleet.take({"version": 2, "full": True, "servers": [server_entry("s0", format_address(server))]})
             self.attempt(until_ms=60.0)
             self.turn_until(lambda: self.results)
         self.assertEqual((self.results[0].ending, self.results[0].reach), (Ending.MOOT, Reach.UNWRITTEN))
@@ -204,16 +214,16 @@
         self.attempt()
         first = self.accept()
         self.read(first, b"\r\n\r\n")
-        first.sendall(reply(b"one"))
+        first.sendall(build_response(b"one"))
         self.turn_until(lambda: self.results)
         self.attempt()  # in the same moment
         self.loop.turn()
         with self.assertRaises(BlockingIOError):  # its request is not written yet
             first.recv(100)
-        first.sendall(reply(b"one"))  # again, some milliseconds late
+        first.sendall(build_response(b"one"))  # again, some milliseconds late
         second = self.accept()
         self.read(second, b"\r\n\r\n")
-        second.sendall(reply(b"two"))
+        second.sendall(build_response(b"two"))
         self.turn_until(lambda: len(self.results) == 2)
         self.assertEqual([result.reply.body for result in self.results], [b"one", b"two"])
         self.assertEqual(self.plan.counts["retired.spoilt"], 1)
@@ -223,7 +233,7 @@
         self.attempt()
         first = self.accept()
         self.read(first, b"\r\n\r\n")
-        first.sendall(reply(b"one"))
+        first.sendall(build_response(b"one"))
         self.turn_until(lambda: self.results)
         begin = now_ms()
         self.attempt()
@@ -237,7 +247,7 @@
 
     def test_a_close_that_crosses_a_long_turn_is_seen_before_the_attempt_is_written(self) -> None:
         self.gateway()
-        client = self.client(ask())
+        client = self.client(build_request())
         original, crossed = self.pool.hindrance, []
 
         def crossing(*values: Any) -> Any:
@@ -255,7 +265,7 @@
 
     def test_whoever_leaves_behind_a_flood_has_left(self) -> None:
         self.gateway()
-        client = self.client(ask())
+        client = self.client(build_request())
         server = self.accept()
         self.read(server, b"\r\n\r\n")
         flood = b"x" * 65536
@@ -276,7 +286,7 @@
 
     def test_a_request_whose_client_closed_behind_it_is_not_begun(self) -> None:
         self.gateway()
-        client = self.client(ask())
+        client = self.client(build_request())
         client.close()  # both lie in the kernel before the gateway looks
         self.turn_until(lambda: self.counts.get("connections", "from_clients"))
         for _ in range(5):
@@ -290,7 +300,7 @@
         for name, leave in (("closed", socket.socket.close), ("reset", reset)):
             with self.subTest(name):
                 self.gateway(most=1)
-                client = self.client(ask())
+                client = self.client(build_request())
                 leave(client)
                 self.turn_until(lambda: self.counts.get("connections", "made_room"))
                 for _ in range(5):
@@ -309,7 +319,7 @@
         made = self.gateway()
 
         def end_crossed_by_a_client() -> None:  # after the turn's sockets: the listener holds one that nobody has seen
-            self.client(ask()).close()
+            self.client(build_request()).close()
             made.close_idle_connections()  # accepts it and looks at it in this turn
 
         self.loop.after(0.0, end_crossed_by_a_client)
@@ -327,7 +337,7 @@
         made = self.gateway()
         client = self.client(HEALTH)
         self.read(client, b"ready\n")
-        client.sendall(ask())
+        client.sendall(build_request())
         (held,) = made.clients
         held.stream.registered_at -= 3000.0  # long known, and
         self.loop.looked_at -= 1500.0  # it came at any time of a turn of 1.5 s
@@ -353,7 +363,7 @@
         made = self.gateway(most=1)
         self.read(self.client(HEALTH), b"ready\n")
         self.turn_until(lambda: not made.accepting)
-        self.client(ask())
+        self.client(build_request())
         made.queued_since -= 1500.0  # nothing was taken from the listener for so long
         self.assertLessEqual(self.told_left_ms(), 4500.0)
 
@@ -365,12 +375,12 @@
         for _ in range(3):  # the listener is watched and nothing is told of it
             self.loop.after(5.0, lambda: None)
             self.loop.turn()
-        self.client(ask())
+        self.client(build_request())
         self.assertGreater(self.told_left_ms(), 5500.0)
 
     def test_the_module_forgets_an_attempt_decided_on_as_its_client_left(self) -> None:
         made = self.gateway()
-        client = self.client(ask())
+        client = self.client(build_request())
         module = made.request_handler.tell.__self__.module
         give = made.request_handler.deliver
 
@@ -394,7 +404,7 @@
         data = self.read(client, until)
         if until is not None:
             data += self.read(client, None)
-        client.sendall(ask(2))
+        client.sendall(build_request(2))
         for _ in range(4):
             self.loop.after(5.0, lambda: None)
             self.loop.turn()
@@ -410,12 +420,12 @@
     def test_what_crosses_a_408_does_not_reset_it_away(self) -> None:
         self.patch(front, FIRST_REQUEST_TIMEOUT_MS=50.0, SWEEP_INTERVAL_MS=10.0)
         self.gateway()
-        self.assertTrue(self.unharmed(self.client(ask()[:40])).startswith(b"HTTP/1.1 408"))
+        self.assertTrue(self.unharmed(self.client(build_request()[:40])).startswith(b"HTTP/1.1 408"))
 
     def test_an_answer_to_what_broke_us_is_not_reset_away(self) -> None:
         self.gateway()
         self.patch(self.platform, parse_request=unittest.mock.Mock(side_effect=ZeroDivisionError))
-        client = self.client(ask() + b"x" * 20000)
+        client = self.client(build_request() + b"x" * 20000)
         self.assertTrue(self.unharmed(client).startswith(b"HTTP/1.1 500"))
 
     def test_one_that_comes_to_a_full_house_ends_few_of_those_that_rest_and_nothing_spins(self) -> None:
@@ -454,7 +464,7 @@
     def test_an_answer_that_trickles_without_end_is_cut_off_in_time(self) -> None:
         self.patch(front, STREAM_TIMEOUT_MS=200.0, STREAM_MS_PER_BYTE=0.0)
         self.gateway()
-        client = self.client(ask())
+        client = self.client(build_request())
         server = self.accept()
         self.read(server, b"\r\n\r\n")
         server.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"11170\r\n" + b"x" * 70000 + b"\r\n")
@@ -550,10 +560,10 @@
         self.addCleanup(watch.task.steps.close)
         line = self.accept()
         self.read(line, b"\r\n\r\n")
-        line.sendall(reply(json.dumps({"version": 2, "full": True, "servers": []}).encode()))
+        line.sendall(build_response(json.dumps({"version": 2, "full": True, "servers": []}).encode()))
         self.read(line, b"after=2")
         begin = now_ms()  # and never a word again
-        for answer in (b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{", reply(b"", "503 Busy")):
+        for answer in (b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{", build_response(b"", "503 Busy")):
             half = self.accept()
             self.read(half, b"after=2")
             none_left.append(OSError(errno.EMFILE, "too many open files"))  # and at once no descriptor to ask anew
@@ -562,8 +572,8 @@
                 reset(half)
         fresh = self.accept()
         self.read(fresh, b"after=2")
-        listing = {"version": 3, "full": False, "servers": [entry("s9", "127.0.0.1:9")]}
-        fresh.sendall(reply(json.dumps(listing, indent=2).encode()))
+        listing = {"version": 3, "full": False, "servers": [server_entry("s9", "127.0.0.1:9")]}
+        fresh.sendall(build_response(json.dumps(listing, indent=2).encode()))
         self.turn_until(lambda: "s9" in self.fleet.addresses)
         self.assertLess(now_ms() - begin, blind_ms())
 
@@ -579,19 +589,19 @@
         self.assertTrue(all(700.0 <= wait <= 1000.0 for wait in waits), waits)
 
 
-class Whole(Story):
+class Whole(GatewayTestCase):
     """The program itself."""
 
     def test_an_answer_without_a_length_ends_by_an_orderly_close_only(self) -> None:
         server = self.listener()
         self.start(server)
-        client = self.client(ask(1))
+        client = self.client(build_request(1))
         at_server = self.accept(server)
         read_message(at_server)
         at_server.sendall(b"HTTP/1.1 200 OK\r\n\r\nwhole")
         at_server.close()
         self.assertTrue(read_message(client).endswith(b"\r\n\r\nwhole"))
-        client.sendall(ask(2))
+        client.sendall(build_request(2))
         at_server = self.accept(server)
         read_message(at_server)
         at_server.sendall(b"HTTP/1.1 200 OK\r\n\r\nhalf")
@@ -604,7 +614,7 @@
         self.start(server)
         for number, version in enumerate((b"HTTP/1.1", b"HTTP/1.0")):
             with self.subTest(version=version):
-                client = self.client(ask(number).replace(b"HTTP/1.1", version, 1))
+                client = self.client(build_request(number).replace(b"HTTP/1.1", version, 1))
                 at_server = self.accept(server)
                 read_message(at_server)
                 at_server.sendall(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * 200000)
@@ -622,7 +632,7 @@
     def test_a_request_with_longer_to_live_than_the_process_is_answered_before_the_kill(self) -> None:
         server = self.listener()
         self.start(server)
-        client = self.client(ask(deadline="6000m"))
+        client = self.client(build_request(deadline="6000m"))
         at_server = self.accept(server)
         read_message(at_server)  # and the server hangs
         self.program.send_signal(signal.SIGTERM)
@@ -632,27 +642,27 @@
         self.assertLess(time.monotonic() - begin, 3.7)  # the kill comes 3 s and 0.7 s after the word
         self.assertRegex(answer, rb"^HTTP/1.1 (429|502)")
         self.assertEqual(at_server.recv(100), b"")
-        _, errors = self.program.communicate(timeout=PATIENCE_S)
+        _, errors = self.program.communicate(timeout=WAIT_TIMEOUT_S)
         self.assertEqual(self.program.returncode, 0, errors)
         self.assertIn("answered.cut_off_at_the_end=1", errors)
 
     def test_idle_clients_that_take_every_descriptor_leave_discovery_and_servers_theirs(self) -> None:
-        with listen() as free:
+        with open_listener() as free:
             where = free.getsockname()
         server = self.listener()
         self.start(sockets=100, discovery=f"{where[0]}:{where[1]}", known=None)  # discovery is down
         crowd = [self.client(HEALTH) for _ in range(150)]
         agent = self.stack.enter_context(socket.create_server(where, backlog=64))
-        agent.settimeout(PATIENCE_S)
+        agent.settimeout(WAIT_TIMEOUT_S)
         line = self.accept(agent)
         read_message(line)
-        listing = {"version": 2, "full": True, "servers": [entry("s0", address(server))]}
-        line.sendall(reply(json.dumps(listing).encode()))
+        listing = {"version": 2, "full": True, "servers": [server_entry("s0", format_address(server))]}
+        line.sendall(build_response(json.dumps(listing).encode()))
         self.assertIn(b"after=2", read_message(line))
-        client = self.client(ask())
+        client = self.client(build_request())
         at_server = self.accept(server)
         read_message(at_server)
-        at_server.sendall(reply(b"served"))
+        at_server.sendall(build_response(b"served"))
         self.assertTrue(read_message(client).endswith(b"served"))
         for sock in crowd:
             sock.close()
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -22,7 +22,17 @@
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, Task, now_ms
 from petrelhall.operator.settings import Links
-from tests.peers import PATIENCE_S, PROFILE, Story, address, ask, entry, listen, read_message, reply
+from tests.peers import (
+    TEST_SETTINGS,
+    WAIT_TIMEOUT_S,
+    GatewayTestCase,
+    build_request,
+    build_response,
+    format_address,
+    open_listener,
+    read_message,
+    server_entry,
+)
 
 ASKED = ForwardedRequest(Message(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
 
@@ -33,7 +43,7 @@
     def setUp(self) -> None:
         self.notes: list[str] = []
         self.loop, self.counts = Loop(self.notes.append), Counts()
-        self.box = listen()
+        self.box = open_listener()
         self.addCleanup(self.box.close)
         self.box.setblocking(False)
         self.fleet = Fleet(("a",))
@@ -42,8 +52,8 @@
         self.addCleanup(lambda: [sock.close() for sock in self.held])
 
     def pool(self, **links: Any) -> Pool:
-        self.fleet.take({"version": 1, "full": True, "servers": [entry("s0", address(self.box))]})
-        platform = Platform(read_settings(PROFILE), ("view", "change"), ("plan",))
+        self.fleet.take({"version": 1, "full": True, "servers": [server_entry("s0", format_address(self.box))]})
+        platform = Platform(read_settings(TEST_SETTINGS), ("view", "change"), ("plan",))
         self.plan = Plan(Links(**links), 10, 30000.0)
         return Pool(self.loop, self.fleet, platform, self.counts, self.plan, 500.0)
 
@@ -55,7 +65,7 @@
         self.addCleanup(self.loop.spawn(steps()).steps.close)
 
     def turn_until(self, done: Any) -> None:
-        until = now_ms() + PATIENCE_S * 1000.0
+        until = now_ms() + WAIT_TIMEOUT_S * 1000.0
         while not done():
             self.assertLess(now_ms(), until, "nothing came of it")
             self.loop.after(20.0, lambda: None)
@@ -95,7 +105,7 @@
         """Answer what was asked, and see the answer come in."""
         done = len(self.results)
         self.asked(sock)
-        sock.sendall(reply(b"ok", "200 OK", *headers))
+        sock.sendall(build_response(b"ok", "200 OK", *headers))
         self.turn_until(lambda: len(self.results) > done)
 
     def test_a_request_beyond_the_bound_waits_and_goes_on_the_connection_that_comes_free(self) -> None:
@@ -165,13 +175,13 @@
             pool.connect_ms = 5000.0
             self.attempt(pool, 8000.0)
             self.turn_until(lambda: pool.open)
-            drains = entry("s0", address(server), "Terminating")
+            drains = server_entry("s0", format_address(server), "Terminating")
             self.fleet.take({"version": 2, "full": False, "servers": [drains]})
-            server.settimeout(PATIENCE_S)
+            server.settimeout(WAIT_TIMEOUT_S)
             server.accept()[0].close()  # room in the queue: the connection comes up
             self.turn_until(lambda: self.results)
             sock = server.accept()[0]
-            sock.settimeout(PATIENCE_S)
+            sock.settimeout(WAIT_TIMEOUT_S)
             self.assertEqual(sock.recv(100), b"")
             sock.close()
         self.assertEqual((self.results[0].ending, self.results[0].reach), (Ending.MOOT, Reach.UNWRITTEN))
@@ -257,7 +267,7 @@
         self.assertEqual((pool.open, self.plan.opening), (0, 0))
 
 
-class Reloading(Story):
+class Reloading(GatewayTestCase):
     """The operators' file on the program itself."""
 
     def begin(self, content: str) -> None:
@@ -278,35 +288,35 @@
 
     def test_a_bad_file_at_the_start_is_one_line_and_exit_code_2(self) -> None:
         self.begin('{"links": {"per_bx": 3}}')
-        _, errors = self.program.communicate(timeout=PATIENCE_S)
+        _, errors = self.program.communicate(timeout=WAIT_TIMEOUT_S)
         self.assertEqual(self.program.returncode, 2)
         self.assertEqual(errors, f"petrelhall: {self.file}: links.per_bx: unknown; did you mean 'per_box'?\n")
 
     def test_a_reload_with_a_bad_value_changes_nothing_and_a_good_one_is_told(self) -> None:
         self.begin('{"links": {"per_box": 8}}')
-        client = self.client(ask())
+        client = self.client(build_request())
         at_server = self.accept(self.server)
         read_message(at_server)
         self.write('{"links": {"per_box": 0}}')
         self.program.send_signal(signal.SIGHUP)
-        self.heard("configuration not taken over: .*links.per_box: 0 cannot be used")
+        self.wait_for_log("configuration not taken over: .*links.per_box: 0 cannot be used")
         self.write('{"links": {"per_box": 4}}')
         self.program.send_signal(signal.SIGHUP)
-        self.heard("operators' file taken over: links.per_box 8 -> 4")
-        at_server.sendall(reply(b"whole"))
+        self.wait_for_log("operators' file taken over: links.per_box 8 -> 4")
+        at_server.sendall(build_response(b"whole"))
         self.assertTrue(read_message(client).endswith(b"whole"))
         self.assertIn("reload.refused=1 reload.taken=1", self.stop())
 
     def test_a_snapshot_of_the_connections_comes_on_request(self) -> None:
         self.begin("{}")
-        client = self.client(ask())
+        client = self.client(build_request())
         at_server = self.accept(self.server)
         read_message(at_server)
-        at_server.sendall(reply(b"whole"))
+        at_server.sendall(build_response(b"whole"))
         read_message(client)
         self.program.send_signal(signal.SIGUSR1)
-        self.heard(r"links open=1 idle=1 .*opened.needed=1")
-        self.heard(r"links box=s0 busy=0 idle=1 .*limit=0.00s..untold")
+        self.wait_for_log(r"links open=1 idle=1 .*opened.needed=1")
+        self.wait_for_log(r"links box=s0 busy=0 idle=1 .*limit=0.00s..untold")
         self.stop()
 
 
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -30,7 +30,7 @@
 from petrelhall.shift.judge import Answer, Bettors, Judge, Judgement, rank, share_of_wealth
 from petrelhall.shift.move import Mover, State
 from petrelhall.shift.plan import PoolError, Pools, place, side
-from tests.peers import PROFILE, Story, ask, entry, read_message, reply
+from tests.peers import TEST_SETTINGS, GatewayTestCase, build_request, build_response, read_message, server_entry
 
 MOVE = Move("m", "old", "new", (Step(0.1, 5.0, 20), Step(0.5, 5.0, 20), Step(1.0, 5.0, 20)))
 T0 = 1e6
@@ -380,7 +380,7 @@
         self.assertEqual(Pools(Shift(pools, default="a")).of({"id": "x", "kind": "m2"}), "a")
 
     def test_the_module_picks_among_the_pools_in_order(self) -> None:
-        module = Gateway(read_settings(PROFILE), 1)
+        module = Gateway(read_settings(TEST_SETTINGS), 1)
         module.handle(0.0, api.Started())
         module.handle(0.0, api.ServerList("full", (api.Server("o", pool="old"), api.Server("n", pool="new"))))
 
@@ -395,8 +395,11 @@
         )
 
     def module(self, group: str, since_ms: float = 0.0) -> Gateway:
-        keyed = PROFILE["Grades"][1] | {"Group": group}
-        profile = PROFILE | {"Grades": [PROFILE["Grades"][0], keyed], "Rules": {"ColdFrom": 0.25, "ColdMs": 10000.0}}
+        keyed = TEST_SETTINGS["Grades"][1] | {"Group": group}
+        profile = TEST_SETTINGS | {
+            "Grades": [TEST_SETTINGS["Grades"][0], keyed],
+            "Rules": {"ColdFrom": 0.25, "ColdMs": 10000.0},
+        }
         module = Gateway(read_settings(profile), 1)
         module.handle(T0, api.Started())
         module.handle(
@@ -433,7 +436,13 @@
 
     def test_a_list_that_is_labelled_anew_keeps_its_boxes(self) -> None:
         fleet = Fleet(("a",))
-        fleet.take({"version": 3, "full": True, "servers": [entry("s0", "127.0.0.1:1"), entry("s1", "127.0.0.1:2")]})
+        fleet.take(
+            {
+                "version": 3,
+                "full": True,
+                "servers": [server_entry("s0", "127.0.0.1:1"), server_entry("s1", "127.0.0.1:2")],
+            }
+        )
         fleet.label = lambda box: "p" if box["id"] == "s0" else None
         news = fleet.relabel()
         told = [(server.pool, server.phase) for server in news.servers]
@@ -453,7 +462,11 @@
             {
                 "version": 1,
                 "full": True,
-                "servers": [entry("old-1", "127.0.0.1:1"), entry("new-1", "127.0.0.1:2"), entry("odd", "127.0.0.1:3")],
+                "servers": [
+                    server_entry("old-1", "127.0.0.1:1"),
+                    server_entry("new-1", "127.0.0.1:2"),
+                    server_entry("odd", "127.0.0.1:3"),
+                ],
             }
         )
         self.plan = Plan(Links(), 10, 30000.0, 10000.0)
@@ -565,7 +578,7 @@
             self.assertTrue(str(caught.exception).startswith(reason), str(caught.exception))
 
 
-class Program(Story):
+class Program(GatewayTestCase):
     """On the program itself."""
 
     def file(self, shift: dict[str, Any] | None) -> None:
@@ -586,23 +599,23 @@
         pools = [{"name": "old", "id": "s0"}, {"name": "new", "id": "s1"}]
         self.file({"pools": pools, "move": move})
         self.start(old, new, arguments=("--operator", self.path_of_file))
-        self.heard('shift {"move":"m","state":"stepping","share":1.0,"reason":"begun"}')
-        client = self.client(ask(1))
+        self.wait_for_log('shift {"move":"m","state":"stepping","share":1.0,"reason":"begun"}')
+        client = self.client(build_request(1))
         first = self.accept(new)
         self.assertIn(b"0000000000000001", read_message(first))
         self.file({"pools": pools, "move": move | {"order": "undo"}})
         self.program.send_signal(signal.SIGHUP)
-        self.heard('"state":"undone"')
-        first.sendall(reply(b"from the new"))  # what was out ends where it was
+        self.wait_for_log('"state":"undone"')
+        first.sendall(build_response(b"from the new"))  # what was out ends where it was
         self.assertTrue(read_message(client).endswith(b"from the new"))
-        client.sendall(ask(2))
+        client.sendall(build_request(2))
         second = self.accept(old)
         self.assertIn(b"0000000000000002", read_message(second))
-        second.sendall(reply(b"from the old"))
+        second.sendall(build_response(b"from the old"))
         self.assertTrue(read_message(client).endswith(b"from the old"))
         self.file(None)
         self.program.send_signal(signal.SIGHUP)
-        self.heard("operators' file taken over: shift")
+        self.wait_for_log("operators' file taken over: shift")
         counts = self.stop()
         self.assertIn("shift.attempts_new=1", counts)
         self.assertIn("answered.served=2", counts)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -17,7 +17,7 @@
 from petrelhall.gateway.peers import Peers
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop
-from tests.peers import PATIENCE_S, Story, ask, listen, read_message, reply
+from tests.peers import WAIT_TIMEOUT_S, GatewayTestCase, build_request, build_response, open_listener, read_message
 
 
 class Marks(unittest.TestCase):
@@ -56,22 +56,22 @@
         peers[0].stop_receiving()
         for sender in senders:
             sender.sendto(b"x", own)
-        until = time.monotonic() + PATIENCE_S
+        until = time.monotonic() + WAIT_TIMEOUT_S
         while sum(got.values()) < len(senders) and time.monotonic() < until:
             loop.turn()
         self.assertEqual(got, {"old": 0, "new": len(senders)})
         peers[0].send(b"still told")
-        senders[0].settimeout(PATIENCE_S)
+        senders[0].settimeout(WAIT_TIMEOUT_S)
         self.assertEqual(senders[0].recvfrom(64), (b"still told", own))
 
 
-class Upgrade(Story):
+class Upgrade(GatewayTestCase):
     """The old process serves until the new one is ready, or it is told to end; the new one goes on."""
 
     def test_the_old_process_leaves_by_itself_once_the_new_one_is_ready(self) -> None:
         server = self.listener()
         first = self.start(server)
-        self.client(ask(1))
+        self.client(build_request(1))
         read_message(self.accept(server))  # the first is serving, and has said it is ready
         second = subprocess.Popen(
             [sys.executable, "-m", "petrelhall"],
@@ -80,14 +80,14 @@
             stderr=subprocess.PIPE,
         )
         self.stack.callback(lambda: second.poll() is None and second.kill())
-        _, errors = first.communicate(timeout=PATIENCE_S)  # no signal is sent to it
+        _, errors = first.communicate(timeout=WAIT_TIMEOUT_S)  # no signal is sent to it
         self.assertEqual(first.returncode, 0, errors)
         self.assertIn("a newer process of this gateway is ready", errors)
         self.program = second
-        late = self.client(ask(2))
+        late = self.client(build_request(2))
         at_server = self.accept(server)
         read_message(at_server)
-        at_server.sendall(reply(b"new"))
+        at_server.sendall(build_response(b"new"))
         self.assertTrue(read_message(late).endswith(b"new"))
 
     def second(self, **environment: str) -> subprocess.Popen[str]:
@@ -104,40 +104,40 @@
     def serve(self, at_server: socket.socket, client: socket.socket, body: bytes) -> bytes:
         """Answer the next request on a server's connection, and give what the client reads."""
         read_message(at_server)
-        at_server.sendall(reply(body))
+        at_server.sendall(build_response(body))
         return read_message(client)
 
     def test_an_idle_client_keeps_its_connection_over_an_upgrade_until_it_asks_again(self) -> None:
         server = self.listener()
         first = self.start(server)
-        idle = self.client(ask(1))
+        idle = self.client(build_request(1))
         at_server = self.accept(server)
         self.assertTrue(self.serve(at_server, idle, b"one").endswith(b"one"))
         second = self.second()
-        self.heard("a newer process of this gateway is ready")
+        self.wait_for_log("a newer process of this gateway is ready")
         first.send_signal(signal.SIGTERM)
         time.sleep(1.0)  # past the time at which a process without a successor ends what is idle
-        idle.sendall(ask(2))
+        idle.sendall(build_request(2))
         answer = self.serve(at_server, idle, b"two")
         self.assertTrue(answer.endswith(b"two"))
         self.assertIn(b"connection: close", answer.lower())  # and it ends with that answer
-        self.assertEqual(first.wait(PATIENCE_S), 0)
+        self.assertEqual(first.wait(WAIT_TIMEOUT_S), 0)
         self.assertIsNone(second.poll())
         self.program = second
 
     def test_a_request_that_has_begun_as_the_idle_are_ended_is_still_answered(self) -> None:
         server = self.listener()
         first = self.start(server)
-        client = self.client(ask(1))
+        client = self.client(build_request(1))
         at_server = self.accept(server)
         self.serve(at_server, client, b"one")
         self.second()
-        self.heard("a newer process of this gateway is ready")
+        self.wait_for_log("a newer process of this gateway is ready")
         first.send_signal(signal.SIGTERM)
         time.sleep(2.4)  # the idle are ended 2.75 s after SIGTERM
-        client.sendall(ask(2)[:40])
+        client.sendall(build_request(2)[:40])
         time.sleep(0.6)
-        client.sendall(ask(2)[40:])
+        client.sendall(build_request(2)[40:])
         self.assertTrue(self.serve(at_server, client, b"two").endswith(b"two"))
 
     def test_an_idle_client_that_never_asks_again_does_not_hold_the_old_process_past_the_kill(self) -> None:
@@ -145,64 +145,64 @@
         first = self.start(server)
         clients = []
         for number in range(1, 20):  # more than are ended at once
-            clients.append(self.client(ask(number)))
+            clients.append(self.client(build_request(number)))
             at_server = self.accept(server)
             read_message(at_server)
-            at_server.sendall(reply(b"one", "200 OK", "Connection: close"))
+            at_server.sendall(build_response(b"one", "200 OK", "Connection: close"))
             self.assertTrue(read_message(clients[-1]).endswith(b"one"))
         idle = clients[0]
         self.second()
-        self.heard("a newer process of this gateway is ready")
+        self.wait_for_log("a newer process of this gateway is ready")
         began = time.monotonic()
         first.send_signal(signal.SIGTERM)
-        self.assertEqual(first.wait(PATIENCE_S), 0)
+        self.assertEqual(first.wait(WAIT_TIMEOUT_S), 0)
         self.assertLess(time.monotonic() - began, 3.0 + 0.7)
         self.assertEqual(idle.recv(1), b"")
 
     def test_sigterm_right_after_ready_finds_the_mark_that_stands_before_it(self) -> None:
         server = self.listener()
         first = self.start(server)
-        client = self.client(ask(1))
+        client = self.client(build_request(1))
         at_server = self.accept(server)
         self.serve(at_server, client, b"one")
-        with listen() as free:
+        with open_listener() as free:
             where = free.getsockname()
         self.second(EDGE_MGMT=f"{where[0]}:{where[1]}")
-        until = time.monotonic() + PATIENCE_S
+        until = time.monotonic() + WAIT_TIMEOUT_S
         answer = b""
         while b" 200 " not in answer and time.monotonic() < until:
-            with contextlib.suppress(ConnectionError), socket.create_connection(where, PATIENCE_S) as call:
+            with contextlib.suppress(ConnectionError), socket.create_connection(where, WAIT_TIMEOUT_S) as call:
                 call.sendall(b"GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n")
                 answer = read_message(call)
         first.send_signal(signal.SIGTERM)
         time.sleep(1.0)  # a process that did not know of the new one by then has ended who is idle
-        client.sendall(ask(2))
+        client.sendall(build_request(2))
         self.assertTrue(self.serve(at_server, client, b"two").endswith(b"two"))
-        _, errors = first.communicate(timeout=PATIENCE_S)
+        _, errors = first.communicate(timeout=WAIT_TIMEOUT_S)
         self.assertIn("a newer process of this gateway is ready", errors)
 
     def test_a_gateway_set_on_an_address_in_use_by_another_does_not_start_and_does_no_harm(self) -> None:
         server = self.listener()
         self.start(server)
-        client = self.client(ask(1))
+        client = self.client(build_request(1))
         at_server = self.accept(server)
         self.serve(at_server, client, b"one")
         with tempfile.TemporaryDirectory() as elsewhere:  # no mark of an upgrade there
             other = self.second(EDGE_NAME="n9", TMPDIR=elsewhere)
-            _, errors = other.communicate(timeout=PATIENCE_S)
+            _, errors = other.communicate(timeout=WAIT_TIMEOUT_S)
         self.assertEqual(other.returncode, 1)
         self.assertRegex(errors, r"\Apetrelhall: cannot start: .*another process listens at 127.0.0.1:\d+.*\n\Z")
-        client.sendall(ask(2))
+        client.sendall(build_request(2))
         self.assertTrue(self.serve(at_server, client, b"two").endswith(b"two"))
         self.assertIsNone(self.program.poll())
 
     def test_a_second_process_on_the_same_addresses_starts_and_serves_after_the_first_leaves(self) -> None:
         server = self.listener()
         first = self.start(server)
-        client = self.client(ask(1))  # the first listens and serves
+        client = self.client(build_request(1))  # the first listens and serves
         at_server = self.accept(server)
         read_message(at_server)
-        at_server.sendall(reply(b"old"))
+        at_server.sendall(build_response(b"old"))
         self.assertTrue(read_message(client).endswith(b"old"))
         second = subprocess.Popen(
             [sys.executable, "-m", "petrelhall"],
@@ -212,26 +212,26 @@
         )
         self.stack.callback(lambda: second.poll() is None and second.kill())
         first.send_signal(signal.SIGTERM)
-        _, errors = first.communicate(timeout=PATIENCE_S)
+        _, errors = first.communicate(timeout=WAIT_TIMEOUT_S)
         self.assertEqual(first.returncode, 0, errors)
         self.program = second  # from here on the clients' address is the second's alone
-        late = self.client(ask(2))
+        late = self.client(build_request(2))
         at_server = self.accept(server)
         read_message(at_server)
-        at_server.sendall(reply(b"new"))
+        at_server.sendall(build_response(b"new"))
         self.assertTrue(read_message(late).endswith(b"new"))
         self.assertIsNone(second.poll())
 
     def test_what_is_taken_after_sigterm_is_answered_before_the_kill_that_follows(self) -> None:
         server = self.listener()
         first = self.start(server)
-        self.client(ask(1))  # it listens
+        self.client(build_request(1))  # it listens
         read_message(self.accept(server))
         began = time.monotonic()
         first.send_signal(signal.SIGTERM)
-        late = self.client(ask(2, deadline="6000m"))  # taken while clients still come, with all of its time
+        late = self.client(build_request(2, deadline="6000m"))  # taken while clients still come, with all of its time
         read_message(self.accept(server))  # which the server never answers
-        late.settimeout(PATIENCE_S)
+        late.settimeout(WAIT_TIMEOUT_S)
         answer = read_message(late)
         self.assertRegex(answer, rb"^HTTP/1.1 (429|502|503|504) ")
         self.assertLess(time.monotonic() - began, 3.0 + 0.7)  # the longest deadline, as counted, and 0.7 s
