--- a/tests/peers.py
+++ b/tests/peers.py
@@ -1,4 +1,7 @@
-"""Scripted peers for the stories in test_gateway.py: plain blocking sockets, each wait bounded."""
+"""Shared helpers for tests that run the gateway process against scripted clients and servers.
+
+The scripted side uses blocking sockets, and every wait has a timeout.
+"""
 
 from __future__ import annotations
 
@@ -18,8 +21,8 @@
 from collections.abc import Iterator
 from typing import Any
 
-WAIT_TIMEOUT_S = 10.0
-KINDS = {"view": "repeatable", "change": "by_key"}
+WAIT_TIMEOUT_S = 10.0  # upper bound of any single wait
+EFFECT_BY_CLASS = {"view": "repeatable", "change": "by_key"}
 TEST_SETTINGS: dict[str, Any] = {
     "Areas": ["a"],
     "Balancers": 1,
@@ -33,7 +36,7 @@
             "WindowMs": 5000.0,
             "LateWorth": 0.2,
         }
-        for name, effect in KINDS.items()
+        for name, effect in EFFECT_BY_CLASS.items()
     ],
     "Packages": [{"Name": "plan", "QuotaRate": 500.0, "Depth": 1000.0}],
     "Limits": {
@@ -60,20 +63,20 @@
 
 
 def read_message(sock: socket.socket) -> bytes:
-    """Read one HTTP message with a stated length, or whatever came before the end."""
+    """Read one HTTP message framed by Content-Length, or all data up to the end of the connection."""
     data = b""
     while b"\r\n\r\n" not in data:
-        more = sock.recv(65536)
-        if not more:
+        chunk = sock.recv(65536)
+        if not chunk:
             return data
-        data += more
+        data += chunk
     head, _, body = data.partition(b"\r\n\r\n")
     length = re.search(rb"content-length: *(\d+)", head, re.IGNORECASE)
     while length and len(body) < int(length[1]):
-        more = sock.recv(65536)
-        if not more:
+        chunk = sock.recv(65536)
+        if not chunk:
             break
-        body += more
+        body += chunk
     return head + b"\r\n\r\n" + body
 
 
@@ -83,7 +86,7 @@
 
 
 def build_request(number: int = 1, kind: str = "view", deadline: str = "6000m", **changes: str | None) -> bytes:
-    """Word a client's request; a header can be changed, or left out with None."""
+    """Build a client's request; a keyword argument sets a header, and None omits it."""
     headers: dict[str, str | None] = {
         "Host": "service",
         "X-Request-Id": f"{number:016x}",
@@ -97,10 +100,10 @@
     return "\r\n".join(["GET /api?client=00000000b4d65521 HTTP/1.1", *lines]).encode() + b"\r\n\r\n"
 
 
-def server_entry(name: str, where: str, state: str = "Ready") -> dict[str, Any]:
+def server_entry(name: str, host_port: str, state: str = "Ready") -> dict[str, Any]:
     return {
         "id": name,
-        "addr": where,
+        "addr": host_port,
         "zone": "a",
         "kind": "k",
         "cell": 0,
@@ -111,12 +114,13 @@
 
 
 class GatewayTestCase(unittest.TestCase):
-    """Starts the program with scripted servers round it, and ends all of it."""
+    """Starts a gateway process with scripted servers, and cleans all of it up."""
 
     def setUp(self) -> None:
         self.stack = contextlib.ExitStack()
         self.addCleanup(self.stack.close)
-        # Of its own: gateways of one name find each other's words there, those of two test runs must not.
+        # Gateways with the same name exchange handover files in TMPDIR, so each test gets its own directory:
+        # concurrent test runs must not find each other's files.
         scratch = self.stack.enter_context(tempfile.TemporaryDirectory())
         self.stack.enter_context(unittest.mock.patch.dict(os.environ, {"TMPDIR": scratch}))
 
@@ -124,25 +128,25 @@
         return self.stack.enter_context(open_listener())
 
     def start(
-        self, *servers: socket.socket, sockets: int = 1024, arguments: tuple[str, ...] = (), **config: Any
+        self, *servers: socket.socket, sockets: int = 1024, arguments: tuple[str, ...] = (), **overrides: Any
     ) -> subprocess.Popen[str]:
-        with open_listener() as free:
-            self.where = free.getsockname()
-        listed = [server_entry(f"s{n}", format_address(server)) for n, server in enumerate(servers)]
-        whole = {
+        with open_listener() as free_port:
+            self.gateway_address = free_port.getsockname()
+        server_entries = [server_entry(f"s{n}", format_address(server)) for n, server in enumerate(servers)]
+        config = {
             "name": "n0",
-            "listen": f"{self.where[0]}:{self.where[1]}",
+            "listen": f"{self.gateway_address[0]}:{self.gateway_address[1]}",
             "discovery": "127.0.0.1:1",
             "seed": "2a",
             "limits": {"sockets": sockets},
             "settings": TEST_SETTINGS,
-            "known": {"version": 1, "full": True, "servers": listed},
-        } | config
-        folder = self.stack.enter_context(tempfile.TemporaryDirectory())
-        self.path = path = os.path.join(folder, "config.json")
+            "known": {"version": 1, "full": True, "servers": server_entries},
+        } | overrides
+        directory = self.stack.enter_context(tempfile.TemporaryDirectory())
+        self.config_path = path = os.path.join(directory, "config.json")
         with open(path, "w") as file:
-            json.dump(whole, file)
-        self.config = whole
+            json.dump(config, file)
+        self.config = config
         command = [sys.executable, "-m", "petrelhall", *arguments]
         self.program = subprocess.Popen(
             command, env={**os.environ, "EDGE_CONFIG": path}, text=True, stderr=subprocess.PIPE
@@ -151,15 +155,15 @@
         return self.program
 
     def reload(self, content: str) -> None:
-        """Put another configuration in place and tell the program."""
-        with open(self.path, "w") as file:
+        """Replace the configuration file and send SIGHUP."""
+        with open(self.config_path, "w") as file:
             file.write(content)
         self.program.send_signal(signal.SIGHUP)
 
     def wait_for_log(self, pattern: str) -> str:
-        """Wait until the program has written a line that a pattern is found in."""
+        """Wait until the process logs a line that matches a pattern, and return that line."""
         assert self.program.stderr is not None
-        timer = threading.Timer(WAIT_TIMEOUT_S, self.program.kill)  # ends the wait
+        timer = threading.Timer(WAIT_TIMEOUT_S, self.program.kill)  # ends the read loop below on a timeout
         timer.start()
         lines = []
         for line in self.program.stderr:
@@ -175,21 +179,21 @@
         self.program.communicate(timeout=WAIT_TIMEOUT_S)
 
     def stop(self) -> str:
-        """End the program as planned, and give what it wrote."""
+        """Stop the process with SIGTERM, check that it exits with status 0, and return its log output."""
         self.program.send_signal(signal.SIGTERM)
-        _, errors = self.program.communicate(timeout=WAIT_TIMEOUT_S)
-        self.assertEqual(self.program.returncode, 0, errors)
-        return errors
+        _, log_output = self.program.communicate(timeout=WAIT_TIMEOUT_S)
+        self.assertEqual(self.program.returncode, 0, log_output)
+        return log_output
 
     def client(self, *data: bytes) -> socket.socket:
-        """Connect, as soon as the program listens, and say something."""
-        until = time.monotonic() + WAIT_TIMEOUT_S
+        """Connect as soon as the gateway listens, and send the given data."""
+        give_up_at = time.monotonic() + WAIT_TIMEOUT_S
         while True:
             try:
-                sock = self.stack.enter_context(socket.create_connection(self.where, WAIT_TIMEOUT_S))
+                sock = self.stack.enter_context(socket.create_connection(self.gateway_address, WAIT_TIMEOUT_S))
                 break
             except ConnectionRefusedError:
-                if time.monotonic() > until or self.program.poll() is not None:
+                if time.monotonic() > give_up_at or self.program.poll() is not None:
                     raise
                 time.sleep(0.01)
         for piece in data:
@@ -202,9 +206,9 @@
         return sock
 
     @contextlib.contextmanager
-    def run_alongside(self, work: Any) -> Iterator[threading.Thread]:
-        """Run a scripted peer beside the story, and wait for it."""
-        thread = threading.Thread(target=work, daemon=True)
+    def run_alongside(self, run_peer: Any) -> Iterator[threading.Thread]:
+        """Run a scripted peer in a thread while the test goes on, and wait for it at the end."""
+        thread = threading.Thread(target=run_peer, daemon=True)
         thread.start()
         yield thread
         thread.join(WAIT_TIMEOUT_S)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The management listener: its calls, the servers taken out, and their file across an upgrade."""
+"""The management listener: parsing of its calls, servers excluded by the operator, and their file across restarts."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
 )
 
 
-class Calls(unittest.TestCase):
-    """What a call asks, read from its method and target alone."""
+class CallParsingTest(unittest.TestCase):
+    """Parsing of a management call from its method and target."""
 
-    def test_calls_are_read_and_what_is_none_is_told_how(self) -> None:
+    def test_valid_calls_are_parsed_and_invalid_ones_get_their_status(self) -> None:
         self.assertEqual(read_call(b"GET", b"/control/ready"), Call(ready=True))
         self.assertEqual(read_call(b"POST", b"/control/servers/s%2D1/offline"), Call(server="s-1", out=True))
         self.assertEqual(read_call(b"POST", b"/control/servers/s1/online?x=1"), Call(server="s1"))
@@ -39,24 +39,24 @@
         self.assertEqual(getattr(read_call(b"POST", b"/control/servers/%ff/offline"), "status", None), 400)
 
 
-class Marks(unittest.TestCase):
-    """The operators' word on servers, and how two processes' words meet."""
+class ExclusionTest(unittest.TestCase):
+    """Servers excluded by the operator, and how the changes of two processes are merged."""
 
-    def test_a_repeated_call_changes_nothing_and_the_later_word_wins(self) -> None:
+    def test_a_repeated_call_changes_nothing_and_the_later_change_wins(self) -> None:
         bans = Bans("n0")
-        self.assertFalse(bans.say("s1", False, 10.0))  # back, though never out
+        self.assertFalse(bans.say("s1", False, 10.0))  # readmitted without having been excluded
         self.assertTrue(bans.say("s1", True, 10.0))
         self.assertFalse(bans.say("s1", True, 20.0))
         self.assertTrue(bans.holds("s1"))
-        other = Bans("n0")
-        other.merge(decode(bans.encode(), "n0"))
-        self.assertTrue(other.say("s1", False, 30.0))
-        self.assertTrue(bans.merge(decode(other.encode(), "n0")))
+        other_process = Bans("n0")
+        other_process.merge(decode(bans.encode(), "n0"))
+        self.assertTrue(other_process.say("s1", False, 30.0))
+        self.assertTrue(bans.merge(decode(other_process.encode(), "n0")))
         self.assertFalse(bans.holds("s1"))
         self.assertEqual(bans.back_at("s1"), 30.0)
-        self.assertFalse(bans.merge(decode(Bans("n0").encode(), "n0")))  # an empty file ends no ban
+        self.assertFalse(bans.merge(decode(Bans("n0").encode(), "n0")))  # merging an empty file ends no exclusion
 
-    def test_a_spoilt_or_foreign_file_is_refused(self) -> None:
+    def test_a_malformed_file_or_one_of_another_gateway_is_rejected(self) -> None:
         for data in (
             b"{",
             b"[]",
@@ -67,7 +67,7 @@
             with self.assertRaises(BansError, msg=data):
                 decode(data, "n0")
 
-    def test_a_server_taken_out_drains_whatever_discovery_says_and_comes_back_cold(self) -> None:
+    def test_an_excluded_server_drains_whatever_discovery_lists_and_returns_cold(self) -> None:
         fleet = Fleet(("a",))
         listing = {
             "version": 1,
@@ -80,46 +80,52 @@
         self.assertEqual(phases, {"s0": "cordoned", "s1": "healthy"})
         self.assertNotIn("s0", fleet.healthy)
         fleet.bans.say("s0", False, 5000.0)
-        back = {server.address: server for server in fleet.take(listing).servers}
-        self.assertEqual((back["s0"].phase, back["s0"].since_ms, back["s1"].since_ms), ("healthy", 5000.0, 0.0))
+        returned_servers = {server.address: server for server in fleet.take(listing).servers}
+        self.assertEqual(
+            (returned_servers["s0"].phase, returned_servers["s0"].since_ms, returned_servers["s1"].since_ms),
+            ("healthy", 5000.0, 0.0),
+        )
         self.assertEqual(fleet.started["s0"], 5000.0)
         self.assertEqual(fleet.ever, {"s0", "s1"})
 
 
-def call(where: tuple[str, int], method: str, path: str) -> int:
-    """Make one management call and give its status."""
-    with socket.create_connection(where, WAIT_TIMEOUT_S) as sock:
+def call_status(address: tuple[str, int], method: str, path: str) -> int:
+    """Make one management call and return its HTTP status."""
+    with socket.create_connection(address, WAIT_TIMEOUT_S) as sock:
         sock.sendall(f"{method} {path} HTTP/1.1\r\nHost: gw\r\nContent-Length: 0\r\n\r\n".encode())
         return int(read_message(sock).split(b" ", 2)[1])
 
 
-class Listener(GatewayTestCase):
-    """A gateway with its management listener, round scripted servers."""
+class ManagementListenerTest(GatewayTestCase):
+    """A gateway process with its management listener and scripted servers."""
 
     def setUp(self) -> None:
         super().setUp()
-        folder = self.stack.enter_context(tempfile.TemporaryDirectory())
-        self.stack.enter_context(unittest.mock.patch.dict(os.environ, {"TMPDIR": folder}))
-        with open_listener() as free:
-            self.mgmt = free.getsockname()
-
-    def begin(self, *servers: socket.socket) -> None:
-        self.start(*servers, mgmt=address_of(self.mgmt))
-        until = time.monotonic() + WAIT_TIMEOUT_S
+        directory = self.stack.enter_context(tempfile.TemporaryDirectory())
+        self.stack.enter_context(unittest.mock.patch.dict(os.environ, {"TMPDIR": directory}))
+        with open_listener() as free_port:
+            self.management_address = free_port.getsockname()
+
+    def start_with_management(self, *servers: socket.socket) -> None:
+        self.start(*servers, mgmt=host_port(self.management_address))
+        give_up_at = time.monotonic() + WAIT_TIMEOUT_S
         while True:
             try:
-                if call(self.mgmt, "GET", "/control/ready") == 200:
+                if call_status(self.management_address, "GET", "/control/ready") == 200:
                     return
             except OSError:
                 pass
-            self.assertLess(time.monotonic(), until)
+            self.assertLess(time.monotonic(), give_up_at)
             self.assertIsNone(self.program.poll())
             time.sleep(0.02)
 
-    def test_calls_are_answered_within_a_second_though_many_say_nothing_or_half(self) -> None:
-        self.begin(self.listener())
-        silent = [self.stack.enter_context(socket.create_connection(self.mgmt, WAIT_TIMEOUT_S)) for _ in range(40)]
-        for sock in silent[::2]:
+    def test_calls_are_answered_within_a_second_despite_silent_and_incomplete_ones(self) -> None:
+        self.start_with_management(self.listener())
+        idle_connections = [
+            self.stack.enter_context(socket.create_connection(self.management_address, WAIT_TIMEOUT_S))
+            for _ in range(40)
+        ]
+        for sock in idle_connections[::2]:
             sock.sendall(b"POST /control/serv")
         for method, path, status in (
             ("GET", "/control/ready", 200),
@@ -127,48 +133,50 @@
             ("DELETE", "/control/ready", 405),
             ("GET", "/elsewhere", 404),
         ):
-            began = time.monotonic()
-            self.assertEqual(call(self.mgmt, method, path), status)
-            self.assertLess(time.monotonic() - began, 1.0)
-        self.assertIn(b"408", silent[-2].recv(200))  # half a call is told so in time, the oldest first
+            started_at = time.monotonic()
+            self.assertEqual(call_status(self.management_address, method, path), status)
+            self.assertLess(time.monotonic() - started_at, 1.0)
+        self.assertIn(b"408", idle_connections[-2].recv(200))  # an incomplete call times out with 408, the oldest first
 
-    def test_a_server_taken_out_gets_nothing_new_until_it_is_put_back(self) -> None:
+    def test_an_excluded_server_gets_no_new_requests_until_it_is_readmitted(self) -> None:
         first, second = self.listener(), self.listener()
-        self.begin(first, second)
-        self.assertEqual(call(self.mgmt, "POST", "/control/servers/s0/offline"), 200)
-        self.assertEqual(call(self.mgmt, "POST", "/control/servers/s0/offline"), 200)  # again: still yes
-        self.all_to(second, instead_of=first)
-        self.assertEqual(call(self.mgmt, "POST", "/control/servers/s0/online"), 200)
-        until, number = time.monotonic() + 5.0, 10  # back cold, and used again within 5 s
-        with selectors.DefaultSelector() as ready:
-            ready.register(first, selectors.EVENT_READ)
-            ready.register(second, selectors.EVENT_READ)
-            while time.monotonic() < until:  # three at once: under load, not only the one measured quickest
-                clients, held = [], []
+        self.start_with_management(first, second)
+        self.assertEqual(call_status(self.management_address, "POST", "/control/servers/s0/offline"), 200)
+        # Repeating the call succeeds too.
+        self.assertEqual(call_status(self.management_address, "POST", "/control/servers/s0/offline"), 200)
+        self.check_all_requests_reach(second, other_server=first)
+        self.assertEqual(call_status(self.management_address, "POST", "/control/servers/s0/online"), 200)
+        give_up_at, number = time.monotonic() + 5.0, 10  # readmitted with a slow start, and used again within 5 s
+        with selectors.DefaultSelector() as selector:
+            selector.register(first, selectors.EVENT_READ)
+            selector.register(second, selectors.EVENT_READ)
+            # Three requests at once put load on the servers: a single one goes to the server measured as fastest.
+            while time.monotonic() < give_up_at:
+                clients, accepted = [], []
                 for _ in range(3):
                     number += 1
                     clients.append(self.client(build_request(number)))
-                    chosen = ready.select(WAIT_TIMEOUT_S)[0][0].fileobj
-                    held.append((chosen, self.accept(chosen)))  # type: ignore[arg-type]
-                for (_, at_server), client in zip(held, clients, strict=True):
+                    chosen_listener = selector.select(WAIT_TIMEOUT_S)[0][0].fileobj
+                    accepted.append((chosen_listener, self.accept(chosen_listener)))  # type: ignore[arg-type]
+                for (_, at_server), client in zip(accepted, clients, strict=True):
                     read_message(at_server)
                     at_server.sendall(build_response(b"ok", "200 OK", "Connection: close"))
                     self.assertTrue(read_message(client).endswith(b"ok"))
-                if any(chosen is first for chosen, _ in held):
+                if any(chosen_listener is first for chosen_listener, _ in accepted):
                     return
-        self.fail("a server put back got nothing in 5 s")
+        self.fail("a readmitted server got no request within 5 s")
 
-    def test_a_ban_holds_for_the_next_process_of_the_gateway(self) -> None:
+    def test_an_exclusion_survives_a_restart_of_the_gateway(self) -> None:
         first, second = self.listener(), self.listener()
-        self.begin(first, second)
-        self.assertEqual(call(self.mgmt, "POST", "/control/servers/s0/offline"), 200)
+        self.start_with_management(first, second)
+        self.assertEqual(call_status(self.management_address, "POST", "/control/servers/s0/offline"), 200)
         self.stop()
-        self.begin(first, second)  # the new process reads what the old one kept under $TMPDIR
-        self.all_to(second, instead_of=first)
+        self.start_with_management(first, second)  # the new process reads the file that the old one wrote under $TMPDIR
+        self.check_all_requests_reach(second, other_server=first)
 
-    def all_to(self, server: socket.socket, instead_of: socket.socket) -> None:
-        """Have a few requests served, each by one server and none by the other."""
-        instead_of.settimeout(0.3)
+    def check_all_requests_reach(self, server: socket.socket, other_server: socket.socket) -> None:
+        """Send a few requests and check that one server gets them all and the other none."""
+        other_server.settimeout(0.3)
         for number in range(1, 5):
             client = self.client(build_request(number))
             at_server = self.accept(server)
@@ -176,8 +184,8 @@
             at_server.sendall(build_response(b"ok", "200 OK", "Connection: close"))
             self.assertTrue(read_message(client).endswith(b"ok"))
         with self.assertRaises(TimeoutError):
-            instead_of.accept()
+            other_server.accept()
 
 
-def address_of(where: tuple[str, int]) -> str:
-    return f"{where[0]}:{where[1]}"
+def host_port(address: tuple[str, int]) -> str:
+    return f"{address[0]}:{address[1]}"
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -1,4 +1,4 @@
-"""Narrow moments on real sockets: two events are made to cross, and what must come out is looked at."""
+"""Race conditions on real sockets: each test forces two events to interleave and checks the outcome."""
 
 from __future__ import annotations
 
@@ -50,24 +50,24 @@
     server_entry,
 )
 
-ASKED = ForwardedRequest(Message(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
-HEALTH = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
+FORWARDED_REQUEST = ForwardedRequest(Message(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
+HEALTH_REQUEST = b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-def reset(sock: socket.socket) -> None:
-    """Close with a reset."""
+def close_with_reset(sock: socket.socket) -> None:
+    """Close the socket so that the peer receives a TCP reset."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     sock.close()
 
 
-class Inside(unittest.TestCase):
-    """A gateway's parts in this process, their loop turned by hand, so that a crossing can be made to happen."""
+class GatewayPartsTestCase(unittest.TestCase):
+    """Runs the gateway's parts in this process and its event loop step by step, so that a test can force a race."""
 
     def setUp(self) -> None:
         self.stack = contextlib.ExitStack()
         self.addCleanup(self.stack.close)
-        self.notes: list[str] = []
-        self.loop, self.counts, self.fleet = Loop(self.notes.append), Counts(), Fleet(("a",))
+        self.log_lines: list[str] = []
+        self.loop, self.counts, self.fleet = Loop(self.log_lines.append), Counts(), Fleet(("a",))
         self.server = self.stack.enter_context(open_listener())
         self.server.setblocking(False)
         self.fleet.take({"version": 1, "full": True, "servers": [server_entry("s0", format_address(self.server))]})
@@ -77,29 +77,29 @@
         self.pool = Pool(self.loop, self.fleet, self.platform, self.counts, self.plan, 5000.0)
         self.results: list[Any] = []
 
-    def gateway(self, most: int = 20) -> Listener:
-        """Put the whole together."""
+    def start_gateway(self, max_connections: int = 20) -> Listener:
+        """Connect all parts of a gateway and return its listener."""
         module = Gateway(self.settings, 1)
-        dispatcher = Dispatcher(self.loop, module, self.counts, self.notes.append)
+        dispatcher = Dispatcher(self.loop, module, self.counts, self.log_lines.append)
         self.request_handler = RequestHandler(self.loop, dispatcher.dispatch, self.pool, self.counts, 700.0)
         dispatcher.handle_request_action = self.request_handler.deliver
         dispatcher.dispatch(Started())
         dispatcher.dispatch(self.fleet.relabel())
-        made = Listener(
+        gateway_listener = Listener(
             self.loop,
             ("127.0.0.1", 0),
             self.platform,
             self.request_handler,
             lambda: True,
             self.counts,
-            self.notes.append,
-            most,
+            self.log_lines.append,
+            max_connections,
             Room(64.0),
         )
-        self.stack.callback(made.listener.close)
-        self.stack.callback(lambda: [client.stream.close() for client in made.clients])
-        self.where = made.listener.getsockname()
-        return made
+        self.stack.callback(gateway_listener.listener.close)
+        self.stack.callback(lambda: [client.stream.close() for client in gateway_listener.clients])
+        self.listen_address = gateway_listener.listener.getsockname()
+        return gateway_listener
 
     def patch(self, module: Any, **values: Any) -> None:
         for name, value in values.items():
@@ -108,61 +108,66 @@
     def turn_until(self, done: Any) -> None:
         until = now_ms() + WAIT_TIMEOUT_S * 1000.0
         while not done():
-            self.assertLess(now_ms(), until, f"nothing came of it: {self.counts} {self.notes}")
+            self.assertLess(now_ms(), until, f"condition not reached in time: {self.counts} {self.log_lines}")
             self.loop.after(5.0, lambda: None)
             self.loop.turn()
 
     def client(self, *data: bytes) -> socket.socket:
-        sock = self.stack.enter_context(socket.create_connection(self.where, WAIT_TIMEOUT_S))
+        sock = self.stack.enter_context(socket.create_connection(self.listen_address, WAIT_TIMEOUT_S))
         for piece in data:
             sock.sendall(piece)
         sock.setblocking(False)
         return sock
 
     def accept(self) -> socket.socket:
-        """Take the connection that the server is sent."""
-        taken: list[socket.socket] = []
+        """Accept the next connection from the gateway to the server."""
+        accepted: list[socket.socket] = []
 
-        def come() -> bool:
+        def try_accept() -> bool:
             with contextlib.suppress(BlockingIOError):
-                taken.append(self.stack.enter_context(self.server.accept()[0]))
-            return bool(taken)
+                accepted.append(self.stack.enter_context(self.server.accept()[0]))
+            return bool(accepted)
 
-        self.turn_until(come)
-        taken[0].setblocking(False)
-        return taken[0]
+        self.turn_until(try_accept)
+        accepted[0].setblocking(False)
+        return accepted[0]
 
-    def read(self, sock: socket.socket, mark: bytes | None) -> bytes:
-        """Read until something has come, or to the end (no mark)."""
+    def read(self, sock: socket.socket, expected: bytes | None) -> bytes:
+        """Read until the expected bytes have arrived, or to the end of the connection if None."""
         data = bytearray()
 
-        def come() -> bool:
+        def read_available() -> bool:
             with contextlib.suppress(BlockingIOError):
-                while more := sock.recv(65536):
-                    data.extend(more)
-                    if mark is not None and mark in data:
+                while chunk := sock.recv(65536):
+                    data.extend(chunk)
+                    if expected is not None and expected in data:
                         return True
                 return True
-            return mark is not None and mark in data
+            return expected is not None and expected in data
 
-        self.turn_until(come)
+        self.turn_until(read_available)
         return bytes(data)
 
-    def attempt(self, until_ms: float = 5000.0, stopped: Any = lambda: False, **more: Any) -> Task:
+    def start_attempt(self, time_left_ms: float = 5000.0, stopped: Any = lambda: False, **options: Any) -> Task:
         def steps() -> Any:
-            self.results.append((yield from self.pool.attempt("s0", ASKED, now_ms() + until_ms, stopped, **more)))
+            self.results.append(
+                (yield from self.pool.attempt("s0", FORWARDED_REQUEST, now_ms() + time_left_ms, stopped, **options))
+            )
 
         task = self.loop.spawn(steps())
         self.addCleanup(task.steps.close)
         return task
 
 
-class Writing(Inside):
-    """What was decided is checked once more at the moment of the write."""
+class ChecksBeforeWriteTest(GatewayPartsTestCase):
+    """A decision to send is checked again just before the request is written to the connection."""
 
     @contextlib.contextmanager
-    def late(self) -> Any:
-        """Have a connection come up only once this is left: until then the server's queue is full."""
+    def delayed_connection(self) -> Any:
+        """Keep the server's accept queue full inside the block, so that a connection is established only after it.
+
+        Then check that the connection was established, that nothing was written to it, and how the attempt ended.
+        """
         self.server.close()
         with (
             socket.create_server(("127.0.0.1", 0), backlog=0) as server,
@@ -177,117 +182,117 @@
             for _ in range(4):
                 self.loop.after(5.0, lambda: None)
                 self.loop.turn()
-            sock = self.stack.enter_context(server.accept()[0])  # it came up
+            sock = self.stack.enter_context(server.accept()[0])  # the delayed connection was established
             sock.setblocking(False)
             with contextlib.suppress(BlockingIOError):
-                self.assertEqual(sock.recv(100), b"")  # and was never written to
+                self.assertEqual(sock.recv(100), b"")  # and nothing was written to it
         self.assertEqual((self.results[0].ending, self.results[0].reach), (Ending.MOOT, Reach.UNWRITTEN))
 
-    def test_a_repeat_whose_window_is_over_when_its_connection_comes_up_is_not_written(self) -> None:
-        with self.late():
+    def test_a_retry_whose_window_ends_before_its_connection_is_established_is_not_written(self) -> None:
+        with self.delayed_connection():
             write_by = now_ms() + 30.0
-            self.attempt(write_by=write_by)
+            self.start_attempt(write_by=write_by)
             self.turn_until(lambda: now_ms() > write_by)
         self.assertIn("too late", self.results[0].reason)
 
-    def test_a_request_called_off_as_its_connection_comes_up_is_not_written(self) -> None:
-        off: list[bool] = []
-        with self.late():
-            self.attempt(stopped=lambda: bool(off))
+    def test_a_request_cancelled_before_its_connection_is_established_is_not_written(self) -> None:
+        cancelled: list[bool] = []
+        with self.delayed_connection():
+            self.start_attempt(stopped=lambda: bool(cancelled))
             self.turn_until(lambda: self.plan.opening)
-            off.append(True)  # nobody wakes the attempt: only the connection's coming up will
+            cancelled.append(True)  # nothing wakes the attempt until its connection is established
 
-    def test_a_request_without_time_left_before_its_connection_comes_up_never_ran(self) -> None:
+    def test_a_request_whose_deadline_passes_while_connecting_counts_as_unwritten(self) -> None:
         self.server.close()
         with (
             socket.create_server(("127.0.0.1", 0), backlog=0) as server,
             socket.create_connection(server.getsockname()),
         ):
             self.fleet.take({"version": 2, "full": True, "servers": [server_entry("s0", format_address(server))]})
-            self.attempt(until_ms=60.0)
+            self.start_attempt(time_left_ms=60.0)
             self.turn_until(lambda: self.results)
         self.assertEqual((self.results[0].ending, self.results[0].reach), (Ending.MOOT, Reach.UNWRITTEN))
 
-    def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_requests(self) -> None:
-        self.patch(reuse, REST_MS=300.0)  # so that a slow machine is in time
+    def test_a_duplicate_response_that_arrives_late_is_not_taken_for_the_next_request(self) -> None:
+        self.patch(reuse, REST_MS=300.0)  # long enough for a slow machine
         self.plan.settings = Links(wait_ms=2000.0)
-        self.attempt()
+        self.start_attempt()
         first = self.accept()
         self.read(first, b"\r\n\r\n")
         first.sendall(build_response(b"one"))
         self.turn_until(lambda: self.results)
-        self.attempt()  # in the same moment
+        self.start_attempt()  # at once, before the reuse delay is over
         self.loop.turn()
-        with self.assertRaises(BlockingIOError):  # its request is not written yet
+        with self.assertRaises(BlockingIOError):  # the second request is not written yet
             first.recv(100)
-        first.sendall(build_response(b"one"))  # again, some milliseconds late
+        first.sendall(build_response(b"one"))  # the duplicate, some milliseconds late
         second = self.accept()
         self.read(second, b"\r\n\r\n")
         second.sendall(build_response(b"two"))
         self.turn_until(lambda: len(self.results) == 2)
         self.assertEqual([result.reply.body for result in self.results], [b"one", b"two"])
         self.assertEqual(self.plan.counts["retired.spoilt"], 1)
-        self.assertFalse(self.plan.boxes["s0"].deaths)  # no word on how long idle connections are kept
+        self.assertFalse(self.plan.boxes["s0"].deaths)  # does not count as evidence of the idle timeout of the server
 
-    def test_a_request_rests_no_longer_than_a_second_answer_may_be_late(self) -> None:
-        self.attempt()
+    def test_a_request_waits_for_reuse_no_longer_than_a_duplicate_response_may_be_late(self) -> None:
+        self.start_attempt()
         first = self.accept()
         self.read(first, b"\r\n\r\n")
         first.sendall(build_response(b"one"))
         self.turn_until(lambda: self.results)
-        begin = now_ms()
-        self.attempt()
+        started_at = now_ms()
+        self.start_attempt()
         self.read(first, b"\r\n\r\n")  # on the same connection
-        self.assertLess(now_ms() - begin, 500.0)
+        self.assertLess(now_ms() - started_at, 500.0)
         self.assertEqual(self.plan.counts["opened.needed"], 1)
 
 
-class Leaving(Inside):
-    """Clients that leave."""
+class ClientDisconnectTest(GatewayPartsTestCase):
+    """Clients that close or reset their connection."""
 
-    def test_a_close_that_crosses_a_long_turn_is_seen_before_the_attempt_is_written(self) -> None:
-        self.gateway()
+    def test_a_close_during_a_long_loop_iteration_is_seen_before_the_attempt_is_written(self) -> None:
+        self.start_gateway()
         client = self.client(build_request())
-        original, crossed = self.pool.hindrance, []
+        original, closed = self.pool.hindrance, []
 
-        def crossing(*values: Any) -> Any:
-            if not crossed:
-                crossed.append(client.close())
-                self.loop.looked_at -= 1000.0  # this turn has gone on for a second since the sockets were asked
+        def close_client_first(*values: Any) -> Any:
+            if not closed:
+                closed.append(client.close())
+                self.loop.looked_at -= 1000.0  # as if the last poll of the sockets was a second ago
             return original(*values)
 
-        self.patch(self.pool, hindrance=crossing)
+        self.patch(self.pool, hindrance=close_client_first)
         server = self.accept()
         self.turn_until(lambda: self.counts.get("answered", "client_left"))
         self.assertEqual(self.counts.get("sent", "moot"), 1)
         with contextlib.suppress(BlockingIOError):
             self.assertEqual(server.recv(100), b"")
 
-    def test_whoever_leaves_behind_a_flood_has_left(self) -> None:
-        self.gateway()
+    def test_a_client_that_closes_after_sending_a_flood_is_detected_as_gone(self) -> None:
+        self.start_gateway()
         client = self.client(build_request())
         server = self.accept()
         self.read(server, b"\r\n\r\n")
-        flood = b"x" * 65536
+        chunk = b"x" * 65536
         sent = 0
 
-        def flooded() -> bool:  # more than is kept for a connection whose request is in hand
+        def send_flood() -> bool:  # more than is buffered for a connection with a request in flight
             nonlocal sent
             with contextlib.suppress(BlockingIOError):
-                sent += client.send(flood)
+                sent += client.send(chunk)
             return sent > 4 * 98304
 
-        self.turn_until(flooded)
+        self.turn_until(send_flood)
         client.close()
-        begin = now_ms()
+        started_at = now_ms()
         self.turn_until(lambda: self.counts.get("answered", "client_left"))
-        self.assertLess(now_ms() - begin, 1000.0)  # not at its deadline, 6 s
+        self.assertLess(now_ms() - started_at, 1000.0)  # well before its deadline of 6 s
         self.assertEqual(self.read(server, None), b"")
 
-    def test_a_request_whose_client_closed_behind_it_is_not_begun(self) -> None:
-        self.gateway()
+    def test_a_request_followed_at_once_by_the_clients_close_is_not_started(self) -> None:
+        self.start_gateway()
         client = self.client(build_request())
-        client.close()  # both lie in the kernel before the gateway looks
+        client.close()  # request and close are both in the kernel before the gateway polls
         self.turn_until(lambda: self.counts.get("connections", "from_clients"))
         for _ in range(5):
             self.loop.after(5.0, lambda: None)
@@ -295,11 +300,11 @@
         self.assertEqual(self.counts.get("taken", "requests"), 0)
         self.assertEqual(self.plan.open, 0)
 
-    def test_a_client_that_left_before_it_was_accepted_into_a_full_house_is_not_served(self) -> None:
-        # Taken in the very turn in which room is made, it is read before epoll was ever asked about it.
-        for name, leave in (("closed", socket.socket.close), ("reset", reset)):
+    def test_a_client_gone_before_it_is_accepted_at_the_connection_limit_is_not_served(self) -> None:
+        # Accepted in the same iteration as the eviction that made room, the connection is read before its first poll.
+        for name, leave in (("closed", socket.socket.close), ("reset", close_with_reset)):
             with self.subTest(name):
-                self.gateway(most=1)
+                self.start_gateway(max_connections=1)
                 client = self.client(build_request())
                 leave(client)
                 self.turn_until(lambda: self.counts.get("connections", "made_room"))
@@ -309,98 +314,99 @@
                 self.assertEqual(self.counts.get("taken", "requests"), 0)
                 self.assertEqual(self.plan.open, 0)
 
-    def test_a_client_that_waits_is_answered_even_where_room_is_made_the_turn_it_is_accepted(self) -> None:
-        self.gateway(most=1)
-        client = self.client(HEALTH)
+    def test_a_waiting_client_is_answered_when_an_eviction_happens_in_the_iteration_of_its_accept(self) -> None:
+        self.start_gateway(max_connections=1)
+        client = self.client(HEALTH_REQUEST)
         self.assertTrue(self.read(client, b"ready\n").startswith(b"HTTP/1.1 200"))
         self.assertEqual(self.counts.get("connections", "made_room"), 1)
 
-    def test_a_client_that_left_before_the_last_connections_are_accepted_is_not_served(self) -> None:
-        made = self.gateway()
+    def test_a_client_gone_before_the_final_accepts_of_a_shutdown_is_not_served(self) -> None:
+        gateway_listener = self.start_gateway()
 
-        def end_crossed_by_a_client() -> None:  # after the turn's sockets: the listener holds one that nobody has seen
+        # Runs after this iteration's socket events, so that the connection is still in the accept queue.
+        def close_idle_with_a_client_in_the_queue() -> None:
             self.client(build_request()).close()
-            made.close_idle_connections()  # accepts it and looks at it in this turn
+            gateway_listener.close_idle_connections()  # accepts it and reads from it in this iteration
 
-        self.loop.after(0.0, end_crossed_by_a_client)
-        self.turn_until(lambda: self.counts.get("connections", "from_clients") and not made.clients)
+        self.loop.after(0.0, close_idle_with_a_client_in_the_queue)
+        self.turn_until(lambda: self.counts.get("connections", "from_clients") and not gateway_listener.clients)
         self.assertEqual(self.counts.get("connections", "from_clients"), 1)
         self.assertEqual(self.counts.get("taken", "requests"), 0)
 
-    def told_left_ms(self) -> float:
-        """Read the attempt that the server is sent, and give the time that it is told."""
+    def forwarded_deadline_ms(self) -> float:
+        """Read the request forwarded to the server, and return the time left in its X-Deadline header."""
         head = self.read(self.accept(), b"\r\n\r\n").lower()
         return float(head.partition(b"x-deadline: ")[2].partition(b"m")[0])
 
-    def test_what_a_request_waited_for_in_a_long_turn_is_not_told_as_left(self) -> None:
-        self.patch(net_loop, WAITED_MS=1000.0)  # a look that a slow machine is late with has not waited
-        made = self.gateway()
-        client = self.client(HEALTH)
+    def test_the_forwarded_deadline_excludes_the_wait_during_a_long_loop_iteration(self) -> None:
+        self.patch(net_loop, WAITED_MS=1000.0)  # a poll that returns late on a slow machine does not count as blocked
+        gateway_listener = self.start_gateway()
+        client = self.client(HEALTH_REQUEST)
         self.read(client, b"ready\n")
         client.sendall(build_request())
-        (held,) = made.clients
-        held.stream.registered_at -= 3000.0  # long known, and
-        self.loop.looked_at -= 1500.0  # it came at any time of a turn of 1.5 s
+        (connection,) = gateway_listener.clients
+        connection.stream.registered_at -= 3000.0  # registered long before, and
+        self.loop.looked_at -= 1500.0  # the request may have arrived at any time during an iteration of 1.5 s
         self.loop.turn()
-        self.assertLessEqual(self.told_left_ms(), 4500.0)
+        self.assertLessEqual(self.forwarded_deadline_ms(), 4500.0)
 
-    def test_what_comes_while_nothing_is_done_has_not_waited(self) -> None:
+    def test_data_that_arrives_while_the_loop_is_polling_has_not_waited(self) -> None:
         far, near = socket.socketpair(socket.AF_UNIX)
-        loop = Loop(self.notes.append)
+        loop = Loop(self.log_lines.append)
         stream = Stream(loop, self.stack.enter_context(near), lambda: None)
         self.stack.enter_context(far)
         stream.registered_at -= 3000.0
-        loop.looked_at -= 1500.0  # the turn before was long, but the look at its end finds nothing ready
+        loop.looked_at -= 1500.0  # the iteration before was long, but the poll after it finds nothing ready
         sender = threading.Timer(0.2, far.sendall, (b"x",))
         self.stack.callback(sender.join)
-        began = now_ms()
+        started_at = now_ms()
         sender.start()
         loop.turn()
         self.assertEqual(stream.incoming, b"x")
-        self.assertGreaterEqual(stream.came_since, began)
+        self.assertGreaterEqual(stream.came_since, started_at)
 
-    def test_what_a_request_waited_for_in_the_listener_is_not_told_as_left(self) -> None:
-        made = self.gateway(most=1)
-        self.read(self.client(HEALTH), b"ready\n")
-        self.turn_until(lambda: not made.accepting)
+    def test_the_forwarded_deadline_excludes_the_wait_in_the_accept_queue(self) -> None:
+        gateway_listener = self.start_gateway(max_connections=1)
+        self.read(self.client(HEALTH_REQUEST), b"ready\n")
+        self.turn_until(lambda: not gateway_listener.accepting)
         self.client(build_request())
-        made.queued_since -= 1500.0  # nothing was taken from the listener for so long
-        self.assertLessEqual(self.told_left_ms(), 4500.0)
-
-    def test_an_empty_listener_is_known_to_be_empty_where_a_full_house_found_room_again(self) -> None:
-        made = self.gateway(most=1)
-        self.read(self.client(HEALTH), b"ready\n")
-        self.turn_until(lambda: self.counts.get("connections", "made_room") and made.accepting)
-        made.queued_since -= 1500.0  # before the house was full
-        for _ in range(3):  # the listener is watched and nothing is told of it
+        gateway_listener.queued_since -= 1500.0  # nothing was accepted for that long
+        self.assertLessEqual(self.forwarded_deadline_ms(), 4500.0)
+
+    def test_the_accept_queue_is_known_to_be_empty_after_the_connection_limit_is_left(self) -> None:
+        gateway_listener = self.start_gateway(max_connections=1)
+        self.read(self.client(HEALTH_REQUEST), b"ready\n")
+        self.turn_until(lambda: self.counts.get("connections", "made_room") and gateway_listener.accepting)
+        gateway_listener.queued_since -= 1500.0  # before the connection limit was reached
+        for _ in range(3):  # the listener is polled and is not readable
             self.loop.after(5.0, lambda: None)
             self.loop.turn()
         self.client(build_request())
-        self.assertGreater(self.told_left_ms(), 5500.0)
+        self.assertGreater(self.forwarded_deadline_ms(), 5500.0)
 
-    def test_the_module_forgets_an_attempt_decided_on_as_its_client_left(self) -> None:
-        made = self.gateway()
+    def test_the_decision_module_drops_an_attempt_whose_client_left_before_it_was_sent(self) -> None:
+        gateway_listener = self.start_gateway()
         client = self.client(build_request())
-        module = made.request_handler.tell.__self__.module
-        give = made.request_handler.deliver
+        module = gateway_listener.request_handler.tell.__self__.module
+        original_deliver = gateway_listener.request_handler.deliver
 
-        def crossing(order: Any) -> None:
+        def close_client_first(action: Any) -> None:
             client.close()
-            for held in made.clients:
-                held.stream.end(0)  # the close is seen between the decision and the attempt
-            give(order)
+            for connection in gateway_listener.clients:
+                connection.stream.end(0)  # the close is seen after the decision and before the attempt starts
+            original_deliver(action)
 
-        made.request_handler.tell.__self__.handle_request_action = crossing
+        gateway_listener.request_handler.tell.__self__.handle_request_action = close_client_first
         self.turn_until(lambda: self.counts.get("answered", "client_left"))
         self.assertEqual((module.in_flight, module.open, module.servers["s0"].open), ({}, 0.0, 0.0))
         self.assertAlmostEqual(module.customers["00000000b4d65521"].shared_bucket, 1000.0, places=0)
 
 
-class Closing(Inside):
-    """Ends of connections that cross what the other side sends."""
+class ConnectionCloseTest(GatewayPartsTestCase):
+    """Connections that the gateway closes while the other side is still sending."""
 
-    def unharmed(self, client: socket.socket, until: bytes | None = None) -> bytes:
-        """Read to the end, send into the closed connection, and see that it was not reset."""
+    def read_and_check_not_reset(self, client: socket.socket, until: bytes | None = None) -> bytes:
+        """Read to the end, send into the closed connection, and check that it was not reset."""
         data = self.read(client, until)
         if until is not None:
             data += self.read(client, None)
@@ -411,175 +417,180 @@
         self.assertEqual(client.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR), 0)
         return data
 
-    def test_what_crosses_the_end_of_an_idle_connection_resets_nothing(self) -> None:
+    def test_data_sent_while_an_idle_connection_is_closed_causes_no_reset(self) -> None:
         self.patch(front, IDLE_TIMEOUT_MS=50.0, SWEEP_INTERVAL_MS=10.0)
-        self.gateway()
-        client = self.client(HEALTH)
-        self.assertTrue(self.unharmed(client, b"ready\n").startswith(b"HTTP/1.1 200"))
+        self.start_gateway()
+        client = self.client(HEALTH_REQUEST)
+        self.assertTrue(self.read_and_check_not_reset(client, b"ready\n").startswith(b"HTTP/1.1 200"))
 
-    def test_what_crosses_a_408_does_not_reset_it_away(self) -> None:
+    def test_data_sent_while_a_408_is_written_does_not_destroy_it_by_a_reset(self) -> None:
         self.patch(front, FIRST_REQUEST_TIMEOUT_MS=50.0, SWEEP_INTERVAL_MS=10.0)
-        self.gateway()
-        self.assertTrue(self.unharmed(self.client(build_request()[:40])).startswith(b"HTTP/1.1 408"))
+        self.start_gateway()
+        self.assertTrue(self.read_and_check_not_reset(self.client(build_request()[:40])).startswith(b"HTTP/1.1 408"))
 
-    def test_an_answer_to_what_broke_us_is_not_reset_away(self) -> None:
-        self.gateway()
+    def test_a_500_after_an_internal_error_is_not_destroyed_by_a_reset(self) -> None:
+        self.start_gateway()
         self.patch(self.platform, parse_request=unittest.mock.Mock(side_effect=ZeroDivisionError))
         client = self.client(build_request() + b"x" * 20000)
-        self.assertTrue(self.unharmed(client).startswith(b"HTTP/1.1 500"))
+        self.assertTrue(self.read_and_check_not_reset(client).startswith(b"HTTP/1.1 500"))
 
-    def test_one_that_comes_to_a_full_house_ends_few_of_those_that_rest_and_nothing_spins(self) -> None:
+    def test_a_connection_over_the_limit_evicts_few_idle_ones_and_nothing_busy_loops(self) -> None:
         self.patch(front, CROWDED_LINGER_TIMEOUT_MS=300.0)
-        self.gateway(most=31)
+        self.start_gateway(max_connections=31)
         for _ in range(30):
-            self.read(self.client(HEALTH), b"ready\n")  # they rest, and do not close when they are told of the end
-        turns, turn, begin = [], self.loop.turn, now_ms()
+            # Left idle: the client does not close its end when the gateway closes the connection.
+            self.read(self.client(HEALTH_REQUEST), b"ready\n")
+        turns, turn, started_at = [], self.loop.turn, now_ms()
         self.patch(self.loop, turn=lambda: turns.append(turn()))
         for _ in range(2):
-            self.read(self.client(HEALTH), b"ready\n")  # once one of those has ended
-        self.assertLess(len(turns), 100.0 + (now_ms() - begin))
-        self.assertLessEqual(
-            self.counts.get("connections", "made_room"), front.EVICTION_BATCH + 2
-        )  # the late two among them
+            self.read(self.client(HEALTH_REQUEST), b"ready\n")  # accepted once one of the idle connections is closed
+        self.assertLess(len(turns), 100.0 + (now_ms() - started_at))
+        # The two late clients are among the evicted.
+        self.assertLessEqual(self.counts.get("connections", "made_room"), front.EVICTION_BATCH + 2)
 
-    def test_where_many_wait_for_a_place_more_are_made_at_once_and_never_over_a_quarter(self) -> None:
+    def test_many_waiting_connections_evict_several_idle_ones_at_once_but_at_most_a_quarter(self) -> None:
         self.patch(front, CROWDED_LINGER_TIMEOUT_MS=200.0)
-        made = self.gateway(most=80)
+        gateway_listener = self.start_gateway(max_connections=80)
         for _ in range(79):
-            self.read(self.client(HEALTH), b"ready\n")  # they rest, and do not close when they are told of the end
-        late = [self.client(HEALTH) for _ in range(60)]
-        most_ending = 0
+            # Left idle: the client does not close its end when the gateway closes the connection.
+            self.read(self.client(HEALTH_REQUEST), b"ready\n")
+        late_clients = [self.client(HEALTH_REQUEST) for _ in range(60)]
+        max_lingering = 0
 
         def all_answered() -> bool:
-            nonlocal most_ending
-            most_ending = max(most_ending, made.lingering)
+            nonlocal max_lingering
+            max_lingering = max(max_lingering, gateway_listener.lingering)
             return self.counts.get("connections", "from_clients") == 139
 
         self.turn_until(all_answered)
-        for client in late:
+        for client in late_clients:
             self.read(client, b"ready\n")
-        self.assertGreater(most_ending, front.EVICTION_BATCH)
-        self.assertLessEqual(most_ending, 20)
+        self.assertGreater(max_lingering, front.EVICTION_BATCH)
+        self.assertLessEqual(max_lingering, 20)
 
-    def test_an_answer_that_trickles_without_end_is_cut_off_in_time(self) -> None:
+    def test_a_response_that_trickles_endlessly_is_aborted_after_the_stream_timeout(self) -> None:
         self.patch(front, STREAM_TIMEOUT_MS=200.0, STREAM_MS_PER_BYTE=0.0)
-        self.gateway()
+        self.start_gateway()
         client = self.client(build_request())
         server = self.accept()
         self.read(server, b"\r\n\r\n")
         server.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"11170\r\n" + b"x" * 70000 + b"\r\n")
-        begin, ended = now_ms(), []
+        started_at, outcomes = now_ms(), []
 
-        def trickled() -> bool:
+        def trickle_and_read() -> bool:
             with contextlib.suppress(OSError):
                 server.send(b"1\r\nx\r\n")
             try:
                 while client.recv(65536):
                     pass
-                ended.append(b"orderly")
+                outcomes.append(b"orderly")
             except BlockingIOError:
                 return False
             except ConnectionResetError:
-                ended.append(b"reset")
+                outcomes.append(b"reset")
             return True
 
-        self.turn_until(trickled)
-        self.assertEqual(ended, [b"reset"])
-        self.assertLess(now_ms() - begin, 2000.0)
+        self.turn_until(trickle_and_read)
+        self.assertEqual(outcomes, [b"reset"])
+        self.assertLess(now_ms() - started_at, 2000.0)
 
 
-class Operators(Inside):
-    """The operators' listener."""
+class ManagementListenerTest(GatewayPartsTestCase):
+    """The management listener."""
 
-    def management(self) -> Management:
-        folder = self.stack.enter_context(tempfile.TemporaryDirectory())
-        self.patch(tempfile, tempdir=folder)
-        made = Management(
+    def start_management(self) -> Management:
+        directory = self.stack.enter_context(tempfile.TemporaryDirectory())
+        self.patch(tempfile, tempdir=directory)
+        management = Management(
             self.loop,
             ("127.0.0.1", 0),
             self.fleet,
             lambda: True,
             lambda news: None,
             self.counts,
-            self.notes.append,
+            self.log_lines.append,
             "n0",
         )
-        self.stack.callback(made.listener.close)
-        self.stack.callback(lambda: [caller.stream.close() for caller in made.connections])
-        self.where = made.listener.getsockname()
-        return made
+        self.stack.callback(management.listener.close)
+        self.stack.callback(lambda: [caller.stream.close() for caller in management.connections])
+        self.listen_address = management.listener.getsockname()
+        return management
 
-    def test_an_answer_to_a_caller_that_said_more_is_not_reset_away(self) -> None:
-        made = self.management()
+    def test_a_response_to_a_caller_that_sent_excess_data_is_not_destroyed_by_a_reset(self) -> None:
+        management = self.start_management()
         caller = self.client(b"GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n" + b"x" * 200000)
         self.turn_until(lambda: self.counts.get("control", "answered_200"))
         caller.setblocking(True)
-        caller.sendall(b"x" * 10000)  # before it reads: a reset would take the answer from it
+        caller.sendall(b"x" * 10000)  # before it reads: a reset would discard the response
         caller.setblocking(False)
         self.assertTrue(self.read(caller, None).startswith(b"HTTP/1.1 200"))
         caller.close()
-        self.turn_until(lambda: not made.connections)
+        self.turn_until(lambda: not management.connections)
 
-    def test_answered_callers_that_stay_keep_no_place(self) -> None:
-        self.management()
-        for _ in range(2 * MAX_MANAGEMENT_CONNECTIONS):  # none of them closes
-            self.assertTrue(self.read(self.client(HEALTH.replace(b"/healthz", b"/control/ready")), b"yes\n"))
+    def test_answered_callers_that_stay_connected_do_not_use_up_the_connection_limit(self) -> None:
+        self.start_management()
+        for _ in range(2 * MAX_MANAGEMENT_CONNECTIONS):  # none of them closes its connection
+            self.assertTrue(self.read(self.client(HEALTH_REQUEST.replace(b"/healthz", b"/control/ready")), b"yes\n"))
 
-    def test_no_descriptor_for_a_caller_does_not_spin(self) -> None:
-        made = self.management()
-        tries: list[int] = []
+    def test_running_out_of_descriptors_for_callers_does_not_busy_loop(self) -> None:
+        management = self.start_management()
+        accept_attempts: list[int] = []
 
-        def none_left() -> Any:
-            tries.append(1)
+        def raise_emfile() -> Any:
+            accept_attempts.append(1)
             raise OSError(errno.EMFILE, "too many open files")
 
-        listener = made.listener
-        made.listener = unittest.mock.Mock(accept=none_left, fileno=listener.fileno)
+        listener = management.listener
+        management.listener = unittest.mock.Mock(accept=raise_emfile, fileno=listener.fileno)
         self.stack.callback(listener.close)
-        caller = self.client(HEALTH.replace(b"/healthz", b"/control/ready"))
+        caller = self.client(HEALTH_REQUEST.replace(b"/healthz", b"/control/ready"))
         until = now_ms() + 200.0
         self.turn_until(lambda: now_ms() > until)
-        self.assertLessEqual(len(tries), 12)
-        made.listener = listener
-        self.assertTrue(self.read(caller, b"yes\n"))  # taken once there is one
+        self.assertLessEqual(len(accept_attempts), 12)
+        management.listener = listener
+        self.assertTrue(self.read(caller, b"yes\n"))  # accepted once a descriptor is available
 
 
-class Listening(Inside):
-    """Discovery that falls silent, and many that ask it."""
+class DiscoveryWatchTest(GatewayPartsTestCase):
+    """Polling of discovery: a poll that goes silent, and many gateways that poll."""
 
-    def test_a_change_is_in_use_within_the_stated_time_of_a_line_gone_dead(self) -> None:
+    def test_a_change_takes_effect_within_the_staleness_bound_after_a_poll_goes_silent(self) -> None:
         self.assertLessEqual(blind_ms(), 6000.0)
-        wait_over = discovery.LATE_MS + discovery.PAUSE_MS + discovery.CONNECT_MS + discovery.LATE_MS
-        self.assertLessEqual(wait_over, 4000.0)  # 6 s from the silence on, or 2 s after a wait's end, the later
-        agent = self.server  # the same listener plays discovery
-        told: list[Any] = []
-        none_left: list[OSError] = []
+        dead_poll_detected_ms = discovery.LATE_MS + discovery.PAUSE_MS + discovery.CONNECT_MS + discovery.LATE_MS
+        # The bound is 6 s after the silence begins or 2 s after a long poll's end, whichever is later.
+        self.assertLessEqual(dead_poll_detected_ms, 4000.0)
+        discovery_server = self.server  # the listener of the scripted server acts as discovery
+        reported: list[Any] = []
+        connect_errors: list[OSError] = []
         connect = discovery.connect
-        self.patch(discovery, connect=lambda *values: none_left.pop() if none_left else connect(*values))
-        watch = Watch(self.loop, agent.getsockname(), self.fleet, told.append, self.counts, self.notes.append)
+        self.patch(discovery, connect=lambda *values: connect_errors.pop() if connect_errors else connect(*values))
+        watch = Watch(
+            self.loop, discovery_server.getsockname(), self.fleet, reported.append, self.counts, self.log_lines.append
+        )
         self.addCleanup(watch.task.steps.close)
-        line = self.accept()
-        self.read(line, b"\r\n\r\n")
-        line.sendall(build_response(json.dumps({"version": 2, "full": True, "servers": []}).encode()))
-        self.read(line, b"after=2")
-        begin = now_ms()  # and never a word again
+        connection = self.accept()
+        self.read(connection, b"\r\n\r\n")
+        connection.sendall(build_response(json.dumps({"version": 2, "full": True, "servers": []}).encode()))
+        self.read(connection, b"after=2")
+        started_at = now_ms()  # from here on this connection stays silent
         for answer in (b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{", build_response(b"", "503 Busy")):
-            half = self.accept()
-            self.read(half, b"after=2")
-            none_left.append(OSError(errno.EMFILE, "too many open files"))  # and at once no descriptor to ask anew
-            half.sendall(answer)
+            partial_connection = self.accept()
+            self.read(partial_connection, b"after=2")
+            # The next connect fails for lack of a descriptor.
+            connect_errors.append(OSError(errno.EMFILE, "too many open files"))
+            partial_connection.sendall(answer)
             if answer.endswith(b"{"):
-                reset(half)
-        fresh = self.accept()
-        self.read(fresh, b"after=2")
+                close_with_reset(partial_connection)
+        new_connection = self.accept()
+        self.read(new_connection, b"after=2")
         listing = {"version": 3, "full": False, "servers": [server_entry("s9", "127.0.0.1:9")]}
-        fresh.sendall(build_response(json.dumps(listing, indent=2).encode()))
+        new_connection.sendall(build_response(json.dumps(listing, indent=2).encode()))
         self.turn_until(lambda: "s9" in self.fleet.addresses)
-        self.assertLess(now_ms() - begin, blind_ms())
+        self.assertLess(now_ms() - started_at, blind_ms())
 
-    def test_gateways_that_lost_discovery_at_one_moment_do_not_ask_in_step(self) -> None:
+    def test_gateways_that_lost_discovery_together_do_not_poll_in_step(self) -> None:
         watches = [
-            Watch(self.loop, ("127.0.0.1", 9), self.fleet, lambda news: None, self.counts, self.notes.append)
+            Watch(self.loop, ("127.0.0.1", 9), self.fleet, lambda news: None, self.counts, self.log_lines.append)
             for _ in range(50)
         ]
         for watch in watches:
@@ -589,10 +600,10 @@
         self.assertTrue(all(700.0 <= wait <= 1000.0 for wait in waits), waits)
 
 
-class Whole(GatewayTestCase):
-    """The program itself."""
+class GatewayProcessTest(GatewayTestCase):
+    """The gateway as a process."""
 
-    def test_an_answer_without_a_length_ends_by_an_orderly_close_only(self) -> None:
+    def test_a_response_without_a_length_is_complete_only_after_an_orderly_close(self) -> None:
         server = self.listener()
         self.start(server)
         client = self.client(build_request(1))
@@ -605,11 +616,11 @@
         at_server = self.accept(server)
         read_message(at_server)
         at_server.sendall(b"HTTP/1.1 200 OK\r\n\r\nhalf")
-        reset(at_server)
+        close_with_reset(at_server)
         self.assertTrue(read_message(client).startswith(b"HTTP/1.1 429"))
         self.assertIn("sent.ok=1 sent.reset=1", self.stop())
 
-    def test_a_large_answer_that_is_reset_is_not_whole_to_any_client(self) -> None:
+    def test_a_large_response_cut_by_a_reset_looks_complete_to_no_client(self) -> None:
         server = self.listener()
         self.start(server)
         for number, version in enumerate((b"HTTP/1.1", b"HTTP/1.0")):
@@ -620,51 +631,53 @@
                 at_server.sendall(b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * 200000)
                 data = b""
                 while len(data) < 100000:
-                    more = client.recv(65536)
-                    self.assertTrue(more, data[:200])
-                    data += more
-                reset(at_server)
+                    chunk = client.recv(65536)
+                    self.assertTrue(chunk, data[:200])
+                    data += chunk
+                close_with_reset(at_server)
                 with self.assertRaises(ConnectionResetError):
-                    while more := client.recv(65536):
-                        data += more
+                    while chunk := client.recv(65536):
+                        data += chunk
                 self.assertFalse(data.endswith(b"0\r\n\r\n"))
 
-    def test_a_request_with_longer_to_live_than_the_process_is_answered_before_the_kill(self) -> None:
+    def test_a_request_whose_deadline_is_after_the_kill_is_answered_before_it(self) -> None:
         server = self.listener()
         self.start(server)
         client = self.client(build_request(deadline="6000m"))
         at_server = self.accept(server)
-        read_message(at_server)  # and the server hangs
+        read_message(at_server)  # the server never answers
         self.program.send_signal(signal.SIGTERM)
-        begin = time.monotonic()
-        self.program.send_signal(signal.SIGTERM)  # twice
+        started_at = time.monotonic()
+        self.program.send_signal(signal.SIGTERM)  # a repeated signal must not change the timing
         answer = read_message(client)
-        self.assertLess(time.monotonic() - begin, 3.7)  # the kill comes 3 s and 0.7 s after the word
+        # The kill comes 3.7 s after SIGTERM: 3 s for the longest deadline and a grace of 0.7 s.
+        self.assertLess(time.monotonic() - started_at, 3.7)
         self.assertRegex(answer, rb"^HTTP/1.1 (429|502)")
         self.assertEqual(at_server.recv(100), b"")
-        _, errors = self.program.communicate(timeout=WAIT_TIMEOUT_S)
-        self.assertEqual(self.program.returncode, 0, errors)
-        self.assertIn("answered.cut_off_at_the_end=1", errors)
+        _, log_output = self.program.communicate(timeout=WAIT_TIMEOUT_S)
+        self.assertEqual(self.program.returncode, 0, log_output)
+        self.assertIn("answered.cut_off_at_the_end=1", log_output)
 
-    def test_idle_clients_that_take_every_descriptor_leave_discovery_and_servers_theirs(self) -> None:
-        with open_listener() as free:
-            where = free.getsockname()
+    def test_idle_clients_at_the_descriptor_limit_leave_descriptors_for_discovery_and_servers(self) -> None:
+        with open_listener() as free_port:
+            discovery_address = free_port.getsockname()
         server = self.listener()
-        self.start(sockets=100, discovery=f"{where[0]}:{where[1]}", known=None)  # discovery is down
-        crowd = [self.client(HEALTH) for _ in range(150)]
-        agent = self.stack.enter_context(socket.create_server(where, backlog=64))
-        agent.settimeout(WAIT_TIMEOUT_S)
-        line = self.accept(agent)
-        read_message(line)
+        # Discovery is down at the start.
+        self.start(sockets=100, discovery=f"{discovery_address[0]}:{discovery_address[1]}", known=None)
+        idle_clients = [self.client(HEALTH_REQUEST) for _ in range(150)]
+        discovery_server = self.stack.enter_context(socket.create_server(discovery_address, backlog=64))
+        discovery_server.settimeout(WAIT_TIMEOUT_S)
+        connection = self.accept(discovery_server)
+        read_message(connection)
         listing = {"version": 2, "full": True, "servers": [server_entry("s0", format_address(server))]}
-        line.sendall(build_response(json.dumps(listing).encode()))
-        self.assertIn(b"after=2", read_message(line))
+        connection.sendall(build_response(json.dumps(listing).encode()))
+        self.assertIn(b"after=2", read_message(connection))
         client = self.client(build_request())
         at_server = self.accept(server)
         read_message(at_server)
         at_server.sendall(build_response(b"served"))
         self.assertTrue(read_message(client).endswith(b"served"))
-        for sock in crowd:
+        for sock in idle_clients:
             sock.close()
         self.assertNotIn("no_descriptor", self.stop())
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -20,218 +20,233 @@
 from tests.peers import WAIT_TIMEOUT_S, GatewayTestCase, build_request, build_response, open_listener, read_message
 
 
-class Marks(unittest.TestCase):
-    """Whose mark moves a process to leave."""
+class ReadyMarkerTest(unittest.TestCase):
+    """Which ready marker makes a process hand over and exit."""
 
-    def test_only_a_later_process_other_than_this_one_is_a_successor(self) -> None:
+    def test_only_another_process_started_later_is_a_successor(self) -> None:
         self.assertTrue(succeeded(mark(20, 2000.0), 10, 1000.0))
-        self.assertFalse(succeeded(mark(10, 2000.0), 10, 1000.0))  # its own
-        self.assertFalse(succeeded(mark(20, 500.0), 10, 1000.0))  # left over from before this one started
-        for spoilt in (b"", b"[1]", b'{"pid": "20", "started_ms": 2000}', b'{"pid": 20, "started_ms": true}'):
-            self.assertFalse(succeeded(spoilt, 10, 1000.0), spoilt)
+        self.assertFalse(succeeded(mark(10, 2000.0), 10, 1000.0))  # its own marker
+        self.assertFalse(succeeded(mark(20, 500.0), 10, 1000.0))  # left over from a process before this one
+        for malformed in (b"", b"[1]", b'{"pid": "20", "started_ms": 2000}', b'{"pid": 20, "started_ms": true}'):
+            self.assertFalse(succeeded(malformed, 10, 1000.0), malformed)
 
 
-class Speakers(unittest.TestCase):
-    """Two processes of a gateway on one address for what peers say."""
+class PeerSocketTest(unittest.TestCase):
+    """Two processes of a gateway share the address on which peers' datagrams arrive."""
 
-    def test_a_process_that_only_speaks_leaves_all_datagrams_to_the_newer_one(self) -> None:
-        got: dict[str, int] = {"old": 0, "new": 0}
+    def test_a_process_that_stopped_receiving_leaves_all_datagrams_to_the_newer_one(self) -> None:
+        received_counts: dict[str, int] = {"old": 0, "new": 0}
         loop = Loop(print)
         senders = [socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for _ in range(32)]
         for sender in senders:
             sender.bind(("127.0.0.1", 0))
             self.addCleanup(sender.close)
-        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
-            free.bind(("127.0.0.1", 0))
-            own = free.getsockname()
-        everyone = senders[0].getsockname()
+        with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free_port:
+            free_port.bind(("127.0.0.1", 0))
+            own_address = free_port.getsockname()
+        broadcast_address = senders[0].getsockname()
         peers = []
-        for name in got:
-
-            def heard(message: api.PeerMessage, name: str = name) -> None:
-                got[name] += 1
-
-            peers.append(Peers(loop, own, tuple(s.getsockname() for s in senders), everyone, 99, heard, Counts()))
+        for name in received_counts:
+
+            def count_message(message: api.PeerMessage, name: str = name) -> None:
+                received_counts[name] += 1
+
+            peers.append(
+                Peers(
+                    loop,
+                    own_address,
+                    tuple(s.getsockname() for s in senders),
+                    broadcast_address,
+                    99,
+                    count_message,
+                    Counts(),
+                )
+            )
             self.addCleanup(peers[-1].sock.close)
         peers[0].stop_receiving()
         for sender in senders:
-            sender.sendto(b"x", own)
-        until = time.monotonic() + WAIT_TIMEOUT_S
-        while sum(got.values()) < len(senders) and time.monotonic() < until:
+            sender.sendto(b"x", own_address)
+        give_up_at = time.monotonic() + WAIT_TIMEOUT_S
+        while sum(received_counts.values()) < len(senders) and time.monotonic() < give_up_at:
             loop.turn()
-        self.assertEqual(got, {"old": 0, "new": len(senders)})
+        self.assertEqual(received_counts, {"old": 0, "new": len(senders)})
         peers[0].send(b"still told")
         senders[0].settimeout(WAIT_TIMEOUT_S)
-        self.assertEqual(senders[0].recvfrom(64), (b"still told", own))
+        self.assertEqual(senders[0].recvfrom(64), (b"still told", own_address))
 
 
-class Upgrade(GatewayTestCase):
-    """The old process serves until the new one is ready, or it is told to end; the new one goes on."""
+class UpgradeTest(GatewayTestCase):
+    """The old process serves until the new one is ready or SIGTERM arrives; the new one takes over."""
 
-    def test_the_old_process_leaves_by_itself_once_the_new_one_is_ready(self) -> None:
+    def test_the_old_process_exits_without_a_signal_once_the_new_one_is_ready(self) -> None:
         server = self.listener()
         first = self.start(server)
         self.client(build_request(1))
-        read_message(self.accept(server))  # the first is serving, and has said it is ready
+        read_message(self.accept(server))  # the first process is serving, so it has written its ready marker
         second = subprocess.Popen(
             [sys.executable, "-m", "petrelhall"],
-            env={**os.environ, "EDGE_CONFIG": self.path},
+            env={**os.environ, "EDGE_CONFIG": self.config_path},
             text=True,
             stderr=subprocess.PIPE,
         )
         self.stack.callback(lambda: second.poll() is None and second.kill())
-        _, errors = first.communicate(timeout=WAIT_TIMEOUT_S)  # no signal is sent to it
-        self.assertEqual(first.returncode, 0, errors)
-        self.assertIn("a newer process of this gateway is ready", errors)
+        _, log_output = first.communicate(timeout=WAIT_TIMEOUT_S)  # without a signal
+        self.assertEqual(first.returncode, 0, log_output)
+        self.assertIn("a newer process of this gateway is ready", log_output)
         self.program = second
-        late = self.client(build_request(2))
+        late_client = self.client(build_request(2))
         at_server = self.accept(server)
         read_message(at_server)
         at_server.sendall(build_response(b"new"))
-        self.assertTrue(read_message(late).endswith(b"new"))
+        self.assertTrue(read_message(late_client).endswith(b"new"))
 
-    def second(self, **environment: str) -> subprocess.Popen[str]:
-        """Start another process of the same gateway beside the first."""
+    def start_second_process(self, **environment: str) -> subprocess.Popen[str]:
+        """Start another process of the same gateway while the first one runs."""
         program = subprocess.Popen(
             [sys.executable, "-m", "petrelhall"],
             text=True,
             stderr=subprocess.PIPE,
-            env={**os.environ, "EDGE_CONFIG": self.path, **environment},
+            env={**os.environ, "EDGE_CONFIG": self.config_path, **environment},
         )
         self.stack.callback(lambda: program.poll() is None and program.kill())
         return program
 
-    def serve(self, at_server: socket.socket, client: socket.socket, body: bytes) -> bytes:
-        """Answer the next request on a server's connection, and give what the client reads."""
+    def answer_request(self, at_server: socket.socket, client: socket.socket, body: bytes) -> bytes:
+        """Answer the next request on a server's connection, and return the response that the client reads."""
         read_message(at_server)
         at_server.sendall(build_response(body))
         return read_message(client)
 
-    def test_an_idle_client_keeps_its_connection_over_an_upgrade_until_it_asks_again(self) -> None:
+    def test_an_idle_client_keeps_its_connection_during_an_upgrade_until_its_next_request(self) -> None:
         server = self.listener()
         first = self.start(server)
-        idle = self.client(build_request(1))
+        idle_client = self.client(build_request(1))
         at_server = self.accept(server)
-        self.assertTrue(self.serve(at_server, idle, b"one").endswith(b"one"))
-        second = self.second()
+        self.assertTrue(self.answer_request(at_server, idle_client, b"one").endswith(b"one"))
+        second = self.start_second_process()
         self.wait_for_log("a newer process of this gateway is ready")
         first.send_signal(signal.SIGTERM)
-        time.sleep(1.0)  # past the time at which a process without a successor ends what is idle
-        idle.sendall(build_request(2))
-        answer = self.serve(at_server, idle, b"two")
+        time.sleep(1.0)  # a process without a successor closes idle connections earlier than this
+        idle_client.sendall(build_request(2))
+        answer = self.answer_request(at_server, idle_client, b"two")
         self.assertTrue(answer.endswith(b"two"))
-        self.assertIn(b"connection: close", answer.lower())  # and it ends with that answer
+        self.assertIn(b"connection: close", answer.lower())  # the connection closes after this response
         self.assertEqual(first.wait(WAIT_TIMEOUT_S), 0)
         self.assertIsNone(second.poll())
         self.program = second
 
-    def test_a_request_that_has_begun_as_the_idle_are_ended_is_still_answered(self) -> None:
+    def test_a_request_half_received_when_idle_connections_are_closed_is_still_answered(self) -> None:
         server = self.listener()
         first = self.start(server)
         client = self.client(build_request(1))
         at_server = self.accept(server)
-        self.serve(at_server, client, b"one")
-        self.second()
+        self.answer_request(at_server, client, b"one")
+        self.start_second_process()
         self.wait_for_log("a newer process of this gateway is ready")
         first.send_signal(signal.SIGTERM)
-        time.sleep(2.4)  # the idle are ended 2.75 s after SIGTERM
+        time.sleep(2.4)  # idle connections are closed 2.75 s after SIGTERM
         client.sendall(build_request(2)[:40])
         time.sleep(0.6)
         client.sendall(build_request(2)[40:])
-        self.assertTrue(self.serve(at_server, client, b"two").endswith(b"two"))
+        self.assertTrue(self.answer_request(at_server, client, b"two").endswith(b"two"))
 
-    def test_an_idle_client_that_never_asks_again_does_not_hold_the_old_process_past_the_kill(self) -> None:
+    def test_idle_clients_do_not_keep_the_old_process_running_past_the_kill_deadline(self) -> None:
         server = self.listener()
         first = self.start(server)
         clients = []
-        for number in range(1, 20):  # more than are ended at once
+        for number in range(1, 20):  # more than are closed in one batch
             clients.append(self.client(build_request(number)))
             at_server = self.accept(server)
             read_message(at_server)
             at_server.sendall(build_response(b"one", "200 OK", "Connection: close"))
             self.assertTrue(read_message(clients[-1]).endswith(b"one"))
-        idle = clients[0]
-        self.second()
+        idle_client = clients[0]
+        self.start_second_process()
         self.wait_for_log("a newer process of this gateway is ready")
-        began = time.monotonic()
+        started_at = time.monotonic()
         first.send_signal(signal.SIGTERM)
         self.assertEqual(first.wait(WAIT_TIMEOUT_S), 0)
-        self.assertLess(time.monotonic() - began, 3.0 + 0.7)
-        self.assertEqual(idle.recv(1), b"")
+        self.assertLess(time.monotonic() - started_at, 3.0 + 0.7)
+        self.assertEqual(idle_client.recv(1), b"")
 
-    def test_sigterm_right_after_ready_finds_the_mark_that_stands_before_it(self) -> None:
+    def test_sigterm_right_after_ready_finds_the_marker_written_before_ready_is_reported(self) -> None:
         server = self.listener()
         first = self.start(server)
         client = self.client(build_request(1))
         at_server = self.accept(server)
-        self.serve(at_server, client, b"one")
-        with open_listener() as free:
-            where = free.getsockname()
-        self.second(EDGE_MGMT=f"{where[0]}:{where[1]}")
-        until = time.monotonic() + WAIT_TIMEOUT_S
+        self.answer_request(at_server, client, b"one")
+        with open_listener() as free_port:
+            management_address = free_port.getsockname()
+        self.start_second_process(EDGE_MGMT=f"{management_address[0]}:{management_address[1]}")
+        give_up_at = time.monotonic() + WAIT_TIMEOUT_S
         answer = b""
-        while b" 200 " not in answer and time.monotonic() < until:
-            with contextlib.suppress(ConnectionError), socket.create_connection(where, WAIT_TIMEOUT_S) as call:
-                call.sendall(b"GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-                answer = read_message(call)
+        while b" 200 " not in answer and time.monotonic() < give_up_at:
+            with (
+                contextlib.suppress(ConnectionError),
+                socket.create_connection(management_address, WAIT_TIMEOUT_S) as connection,
+            ):
+                connection.sendall(b"GET /control/ready HTTP/1.1\r\nHost: x\r\n\r\n")
+                answer = read_message(connection)
         first.send_signal(signal.SIGTERM)
-        time.sleep(1.0)  # a process that did not know of the new one by then has ended who is idle
+        time.sleep(1.0)  # a process unaware of its successor would have closed idle connections by now
         client.sendall(build_request(2))
-        self.assertTrue(self.serve(at_server, client, b"two").endswith(b"two"))
-        _, errors = first.communicate(timeout=WAIT_TIMEOUT_S)
-        self.assertIn("a newer process of this gateway is ready", errors)
+        self.assertTrue(self.answer_request(at_server, client, b"two").endswith(b"two"))
+        _, log_output = first.communicate(timeout=WAIT_TIMEOUT_S)
+        self.assertIn("a newer process of this gateway is ready", log_output)
 
-    def test_a_gateway_set_on_an_address_in_use_by_another_does_not_start_and_does_no_harm(self) -> None:
+    def test_a_gateway_configured_with_an_address_in_use_does_not_start_or_disturb_the_other(self) -> None:
         server = self.listener()
         self.start(server)
         client = self.client(build_request(1))
         at_server = self.accept(server)
-        self.serve(at_server, client, b"one")
-        with tempfile.TemporaryDirectory() as elsewhere:  # no mark of an upgrade there
-            other = self.second(EDGE_NAME="n9", TMPDIR=elsewhere)
-            _, errors = other.communicate(timeout=WAIT_TIMEOUT_S)
-        self.assertEqual(other.returncode, 1)
-        self.assertRegex(errors, r"\Apetrelhall: cannot start: .*another process listens at 127.0.0.1:\d+.*\n\Z")
+        self.answer_request(at_server, client, b"one")
+        with tempfile.TemporaryDirectory() as other_directory:  # without a handover marker in it
+            other_gateway = self.start_second_process(EDGE_NAME="n9", TMPDIR=other_directory)
+            _, log_output = other_gateway.communicate(timeout=WAIT_TIMEOUT_S)
+        self.assertEqual(other_gateway.returncode, 1)
+        self.assertRegex(log_output, r"\Apetrelhall: cannot start: .*another process listens at 127.0.0.1:\d+.*\n\Z")
         client.sendall(build_request(2))
-        self.assertTrue(self.serve(at_server, client, b"two").endswith(b"two"))
+        self.assertTrue(self.answer_request(at_server, client, b"two").endswith(b"two"))
         self.assertIsNone(self.program.poll())
 
-    def test_a_second_process_on_the_same_addresses_starts_and_serves_after_the_first_leaves(self) -> None:
+    def test_a_second_process_on_the_same_addresses_serves_after_the_first_exits(self) -> None:
         server = self.listener()
         first = self.start(server)
-        client = self.client(build_request(1))  # the first listens and serves
+        client = self.client(build_request(1))  # waits until the first process listens and serves
         at_server = self.accept(server)
         read_message(at_server)
         at_server.sendall(build_response(b"old"))
         self.assertTrue(read_message(client).endswith(b"old"))
         second = subprocess.Popen(
             [sys.executable, "-m", "petrelhall"],
-            env={**os.environ, "EDGE_CONFIG": self.path},
+            env={**os.environ, "EDGE_CONFIG": self.config_path},
             text=True,
             stderr=subprocess.PIPE,
         )
         self.stack.callback(lambda: second.poll() is None and second.kill())
         first.send_signal(signal.SIGTERM)
-        _, errors = first.communicate(timeout=WAIT_TIMEOUT_S)
-        self.assertEqual(first.returncode, 0, errors)
-        self.program = second  # from here on the clients' address is the second's alone
-        late = self.client(build_request(2))
+        _, log_output = first.communicate(timeout=WAIT_TIMEOUT_S)
+        self.assertEqual(first.returncode, 0, log_output)
+        self.program = second  # from here on only the second process listens on the client address
+        late_client = self.client(build_request(2))
         at_server = self.accept(server)
         read_message(at_server)
         at_server.sendall(build_response(b"new"))
-        self.assertTrue(read_message(late).endswith(b"new"))
+        self.assertTrue(read_message(late_client).endswith(b"new"))
         self.assertIsNone(second.poll())
 
-    def test_what_is_taken_after_sigterm_is_answered_before_the_kill_that_follows(self) -> None:
+    def test_a_request_accepted_after_sigterm_is_answered_before_the_kill(self) -> None:
         server = self.listener()
         first = self.start(server)
-        self.client(build_request(1))  # it listens
+        self.client(build_request(1))  # waits until the gateway listens
         read_message(self.accept(server))
-        began = time.monotonic()
+        started_at = time.monotonic()
         first.send_signal(signal.SIGTERM)
-        late = self.client(build_request(2, deadline="6000m"))  # taken while clients still come, with all of its time
-        read_message(self.accept(server))  # which the server never answers
-        late.settimeout(WAIT_TIMEOUT_S)
-        answer = read_message(late)
+        # Accepted while the listener is still open, with its full deadline.
+        late_client = self.client(build_request(2, deadline="6000m"))
+        read_message(self.accept(server))  # the server never answers
+        late_client.settimeout(WAIT_TIMEOUT_S)
+        answer = read_message(late_client)
         self.assertRegex(answer, rb"^HTTP/1.1 (429|502|503|504) ")
-        self.assertLess(time.monotonic() - began, 3.0 + 0.7)  # the longest deadline, as counted, and 0.7 s
+        # The kill comes after the longest deadline, counted as at most 3 s, and another 0.7 s.
+        self.assertLess(time.monotonic() - started_at, 3.0 + 0.7)
