--- a/tests/peers.py
+++ b/tests/peers.py
@@ -52,12 +52,14 @@
 
 
 def open_listener() -> socket.socket:
+    """Listen on a free port of the loopback interface."""
     listener = socket.create_server(("127.0.0.1", 0), backlog=64)
     listener.settimeout(WAIT_TIMEOUT_S)
     return listener
 
 
 def format_address(sock: socket.socket) -> str:
+    """Return the local address of a socket as ``host:port``."""
     host, port = sock.getsockname()
     return f"{host}:{port}"
 
@@ -81,6 +83,7 @@
 
 
 def build_response(body: bytes, status: str = "200 OK", *headers: str) -> bytes:
+    """Build a server's HTTP response with a Content-Length."""
     lines = [f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers]
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
@@ -101,6 +104,7 @@
 
 
 def server_entry(name: str, host_port: str, state: str = "Ready") -> dict[str, Any]:
+    """Build the entry of one server as discovery lists it."""
     return {
         "id": name,
         "addr": host_port,
@@ -119,7 +123,7 @@
     def setUp(self) -> None:
         self.stack = contextlib.ExitStack()
         self.addCleanup(self.stack.close)
-        # Gateways with the same name exchange handover files in TMPDIR, so each test gets its own directory:
+        # Gateways with the same name share files in TMPDIR (handover, exclusions), so each test gets its own directory:
         # concurrent test runs must not find each other's files.
         scratch = self.stack.enter_context(tempfile.TemporaryDirectory())
         self.stack.enter_context(unittest.mock.patch.dict(os.environ, {"TMPDIR": scratch}))
@@ -174,6 +178,7 @@
         raise AssertionError(f"{pattern!r} not in {lines}")
 
     def kill_gateway(self) -> None:
+        """Kill the process if it still runs, and wait until it has exited."""
         if self.program.poll() is None:
             self.program.kill()
         self.program.communicate(timeout=WAIT_TIMEOUT_S)
