--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -17,7 +17,7 @@
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop, Steps, now_ms
 from petrelhall.net.stream import Stream
-from tests.peers import PATIENCE_S, Story, ask, read_message, reply
+from tests.peers import WAIT_TIMEOUT_S, GatewayTestCase, build_request, build_response, read_message
 
 LINGER_RESET = struct.pack("ii", 1, 0)
 
@@ -25,7 +25,9 @@
 def post_head(length: int | None, number: int = 1, **headers: str) -> bytes:
     """Build the head of a POST with an idempotency key, for a body of the given length or (None) a chunked one."""
     framing = {"Transfer_Encoding": "chunked"} if length is None else {"Content_Length": str(length)}
-    return ask(number, "change", Idempotency_Key=f"k{number}", **framing, **headers).replace(b"GET", b"POST", 1)
+    return build_request(number, "change", Idempotency_Key=f"k{number}", **framing, **headers).replace(
+        b"GET", b"POST", 1
+    )
 
 
 def chunk(data: bytes) -> bytes:
@@ -66,7 +68,7 @@
         stream = Stream(loop, sock, lambda: None)
         stream.max_unread = 1000
         peer.sendall(b"x" * 50000)
-        deadline = time.monotonic() + PATIENCE_S
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
         while len(stream.incoming) <= stream.max_unread and time.monotonic() < deadline:
             loop.turn()
         peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
@@ -77,7 +79,7 @@
         self.assertTrue(stream.ended)
 
 
-class LargeBodyTest(Story):
+class LargeBodyTest(GatewayTestCase):
     """Large bodies reach a server unchanged and are streamed at most once."""
 
     def read_request(self, sock: socket.socket) -> tuple[bytes, bytes]:
@@ -105,16 +107,16 @@
         self.start(server)
         body = bytes(range(256)) * 12000
         client = self.client(post_head(len(body)))
-        with self.beside(lambda: client.sendall(body)):
+        with self.run_alongside(lambda: client.sendall(body)):
             server_connection = self.accept(server)
             head, received = self.read_request(server_connection)
         self.assertEqual(received, body)
         self.assertIn(b"content-length: %d" % len(body), head.lower())
-        server_connection.sendall(reply(b"done"))
+        server_connection.sendall(build_response(b"done"))
         self.assertTrue(read_message(client).endswith(b"done"))
-        client.sendall(ask(2))  # the connection is still usable
+        client.sendall(build_request(2))  # the connection is still usable
         read_message(server_connection)
-        server_connection.sendall(reply(b"next"))
+        server_connection.sendall(build_response(b"next"))
         self.assertTrue(read_message(client).endswith(b"next"))
         self.assertIn("answered.bodies_passed_on=1", self.stop())
 
@@ -122,10 +124,10 @@
         server = self.listener()
         self.start(server)
         client = self.client(post_head(2 << 20, deadline="1000m"))
-        with self.beside(lambda: [(client.sendall(b"x" * (1 << 18)), time.sleep(0.2)) for _ in range(8)]):
+        with self.run_alongside(lambda: [(client.sendall(b"x" * (1 << 18)), time.sleep(0.2)) for _ in range(8)]):
             server_connection = self.accept(server)
             self.read_request(server_connection)
-        server_connection.sendall(reply(b"done"))
+        server_connection.sendall(build_response(b"done"))
         self.assertTrue(read_message(client).endswith(b"done"))
 
     def test_buffered_body_releases_its_memory_budget_with_the_answer(self) -> None:
@@ -137,7 +139,7 @@
             if client is not first:
                 client.sendall(post_head(150000, 2) + b"x" * 150000)
             self.read_request(server_connection)
-            server_connection.sendall(reply(b"done"))
+            server_connection.sendall(build_response(b"done"))
             self.assertTrue(read_message(client).endswith(b"done"))
         self.assertNotIn("bodies_passed_on", self.stop())
 
@@ -159,7 +161,7 @@
 
         request_handler = RequestHandler(loop, record_event, SlowServers(), Counts(), 0.0)
         loop.spawn(request_handler.serve(Request(0, 0, "a", 5000.0, 1.0, 1, False, None), ConnectedClient()))
-        deadline = time.monotonic() + PATIENCE_S
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
         while len(events) < 2 and time.monotonic() < deadline:
             loop.turn()
         self.assertLess(events[1].latency_ms, 100.0)
@@ -169,14 +171,14 @@
         self.start(server)
         body = b"c" * (2 << 20)
         client = self.client(post_head(None, Expect="100-continue"))
-        client.settimeout(PATIENCE_S)
+        client.settimeout(WAIT_TIMEOUT_S)
         self.assertTrue(client.recv(64).startswith(b"HTTP/1.1 100"))
         chunks = b"".join(chunk(body[start : start + 50000]) for start in range(0, len(body), 50000))
-        with self.beside(lambda: client.sendall(chunks + b"0\r\nX-Sum: 1\r\n\r\n")):
+        with self.run_alongside(lambda: client.sendall(chunks + b"0\r\nX-Sum: 1\r\n\r\n")):
             server_connection = self.accept(server)
             _, received = self.read_request(server_connection)
         self.assertEqual(received, body)
-        server_connection.sendall(reply(b"done"))
+        server_connection.sendall(build_response(b"done"))
         self.assertTrue(read_message(client).endswith(b"done"))
 
     def test_buffered_body_is_resent_completely_after_a_server_did_not_run_it(self) -> None:
@@ -186,15 +188,15 @@
         client = self.client(post_head(len(body)), body)
         first = self.accept_from_any(servers)
         self.assertEqual(self.read_request(first)[1], body)
-        first.sendall(reply(b"", "503 Busy", "X-Not-Run: 1"))
+        first.sendall(build_response(b"", "503 Busy", "X-Not-Run: 1"))
         second = self.accept_from_any(servers)
         self.assertEqual(self.read_request(second)[1], body)
-        second.sendall(reply(b"done"))
+        second.sendall(build_response(b"done"))
         self.assertTrue(read_message(client).endswith(b"done"))
 
     def accept_from_any(self, servers: list[socket.socket]) -> socket.socket:
         """Accept a connection at whichever server the gateway connects to."""
-        deadline = time.monotonic() + PATIENCE_S
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
         for server in servers:
             server.settimeout(0.02)
         while time.monotonic() < deadline:
@@ -214,7 +216,7 @@
                 server_connection = self.accept_from_any(servers)
                 server_connection.recv(65536)
                 if fault == "early":
-                    server_connection.sendall(reply(b"", "503 Busy", "X-Not-Run: 1", "Connection: close"))
+                    server_connection.sendall(build_response(b"", "503 Busy", "X-Not-Run: 1", "Connection: close"))
                 else:
                     server_connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
                     server_connection.close()
@@ -237,7 +239,7 @@
         client = self.client(post_head(4 << 20), b"x" * (2 << 20))
         server_connection = self.accept(server)
         received = 0
-        server_connection.settimeout(2 * PATIENCE_S)
+        server_connection.settimeout(2 * WAIT_TIMEOUT_S)
         while more := server_connection.recv(1 << 20):
             received += len(more)
         self.assertLess(received, 4 << 20)
@@ -256,7 +258,7 @@
             except OSError:
                 pass  # the gateway has stopped reading
 
-        with self.beside(send_body):
+        with self.run_alongside(send_body):
             server_connection = self.accept(server)
             while server_connection.recv(1 << 20):
                 pass
@@ -267,7 +269,7 @@
         server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
         self.start(server)
         client = self.client(post_head(32 << 20))
-        self.client(ask(9))  # other clients connect meanwhile
+        self.client(build_request(9))  # other clients connect meanwhile
         client.settimeout(1.0)
         sent = 0
         with self.assertRaises(TimeoutError):
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -34,19 +34,29 @@
 from petrelhall.net.loop import Loop, now_ms
 from petrelhall.net.stream import Stream
 from petrelhall.operator.settings import Links
-from tests.peers import PATIENCE_S, PROFILE, Story, address, ask, entry, listen, read_message, reply
+from tests.peers import (
+    TEST_SETTINGS,
+    WAIT_TIMEOUT_S,
+    GatewayTestCase,
+    build_request,
+    build_response,
+    format_address,
+    open_listener,
+    read_message,
+    server_entry,
+)
 
 FORWARDED_REQUEST = ForwardedRequest(HttpRequest(b"GET", b"/api?client=0000000000000001", {}, b""), [(b"host", b"h")])
 
 
-class ServingTest(Story):
+class ServingTest(GatewayTestCase):
     """Clients get complete answers; server faults are retried or turned into refusals."""
 
     def test_request_is_forwarded_unchanged_and_connections_are_reused(self) -> None:
         server = self.listener()
         self.start(server)
         body = b"x" * 40000
-        post_request = ask(kind="change", Idempotency_Key="k1", Content_Length=str(len(body)))
+        post_request = build_request(kind="change", Idempotency_Key="k1", Content_Length=str(len(body)))
         post_request = post_request.replace(b"GET", b"POST", 1)
         client = self.client(post_request[:20], post_request[20:], body)
         server_connection = self.accept(server)
@@ -57,11 +67,11 @@
             self.assertIn(header.lower(), received.lower())
         forwarded_deadline = re.search(rb"x-deadline: (\d+)m", received.lower())
         self.assertTrue(forwarded_deadline and 5000 < int(forwarded_deadline[1]) < 6000, received[:400])
-        server_connection.sendall(reply(b"answer", "200 OK", "X-Load: LOAD inflight=3, qps=7"))
+        server_connection.sendall(build_response(b"answer", "200 OK", "X-Load: LOAD inflight=3, qps=7"))
         self.assertTrue(read_message(client).endswith(b"\r\n\r\nanswer"))
-        client.sendall(ask(2))
+        client.sendall(build_request(2))
         self.assertIn(b"0000000000000002", read_message(server_connection))
-        server_connection.sendall(reply(b"second"))
+        server_connection.sendall(build_response(b"second"))
         self.assertTrue(read_message(client).endswith(b"second"))
         counts = self.stop()
         for count in ("taken.requests=2", "answered.served=2", "sent.ok=2", "connections.to_servers=1"):
@@ -70,14 +80,14 @@
     def test_truncated_answer_is_retried_after_the_first_attempt_has_ended(self) -> None:
         servers = self.listener(), self.listener()
         self.start(*servers)
-        client = self.client(ask())
+        client = self.client(build_request())
         first, first_index = self.accept_first(*servers)
         read_message(first)
-        first.sendall(reply(b"whole")[:-2])
+        first.sendall(build_response(b"whole")[:-2])
         first.close()
         second = self.accept(servers[1 - first_index])
         read_message(second)
-        second.sendall(reply(b"other"))
+        second.sendall(build_response(b"other"))
         self.assertTrue(read_message(client).endswith(b"\r\n\r\nother"))
         self.assertIn("sent.reset=1", self.stop())
 
@@ -86,20 +96,20 @@
         with selectors.DefaultSelector() as selector:
             for index, server in enumerate(servers):
                 selector.register(server, selectors.EVENT_READ, index)
-            ready = selector.select(PATIENCE_S)
+            ready = selector.select(WAIT_TIMEOUT_S)
             self.assertTrue(ready, "the gateway connected to no server")
             return self.accept(servers[ready[0][0].data]), ready[0][0].data
 
     def test_chunked_body_is_forwarded_with_a_content_length(self) -> None:
         server = self.listener()
         self.start(server)
-        post_request = ask(kind="change", Idempotency_Key="k1", Transfer_Encoding="chunked")
+        post_request = build_request(kind="change", Idempotency_Key="k1", Transfer_Encoding="chunked")
         client = self.client(post_request.replace(b"GET", b"POST", 1), b"3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n")
         server_connection = self.accept(server)
         received = read_message(server_connection)
         self.assertTrue(received.endswith(b"\r\n\r\nabcdefg"), received)
         self.assertIn(b"content-length: 7", received.lower())
-        server_connection.sendall(reply(b"done"))
+        server_connection.sendall(build_response(b"done"))
         self.assertTrue(read_message(client).endswith(b"done"))
 
     def test_malformed_answer_is_refused_and_does_not_mark_its_server_as_failed(self) -> None:
@@ -120,20 +130,22 @@
         )
         for number, answer in enumerate(malformed_answers):
             with self.subTest(answer=answer[:40]):
-                client.sendall(ask(number))
+                client.sendall(build_request(number))
                 server_connection = self.accept(server)  # each on a new connection, without a back-off
                 read_message(server_connection)
                 server_connection.sendall(answer)
                 self.assertTrue(read_message(client).startswith(b"HTTP/1.1 429"))
-        client.sendall(ask(100))
+        client.sendall(build_request(100))
         server_connection = self.accept(server)
         read_message(server_connection)
-        server_connection.sendall(b"HTTP/1.1 102 Wait\r\n\r\n" * 3 + reply(b"good") + reply(b"behind"))
+        server_connection.sendall(
+            b"HTTP/1.1 102 Wait\r\n\r\n" * 3 + build_response(b"good") + build_response(b"behind")
+        )
         self.assertTrue(read_message(client).endswith(b"good"))
-        client.sendall(ask(101))
+        client.sendall(build_request(101))
         server_connection = self.accept(server)  # bytes after a complete answer are not taken for the next answer
         read_message(server_connection)
-        server_connection.sendall(reply(b"next"))
+        server_connection.sendall(build_response(b"next"))
         self.assertTrue(read_message(client).endswith(b"next"))
         counts = self.stop()
         self.assertIn(
@@ -145,12 +157,12 @@
         self.start(server)
         client = self.client()
         for number in range(3):
-            client.sendall(ask(number))
+            client.sendall(build_request(number))
             if number % 2 == 0:
                 server_connection = self.accept(server)
             read_message(server_connection)
             if number % 2 == 0:
-                server_connection.sendall(reply(b"good"))
+                server_connection.sendall(build_response(b"good"))
                 self.assertTrue(read_message(client).endswith(b"good"))
             else:
                 server_connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -163,10 +175,10 @@
     def test_rejection_by_every_server_gives_one_429_with_retry_after(self) -> None:
         server = self.listener()
         self.start(server)
-        client = self.client(ask())
+        client = self.client(build_request())
         server_connection = self.accept(server)
         read_message(server_connection)
-        server_connection.sendall(reply(b"", "503 Full", "X-Not-Run: 1"))
+        server_connection.sendall(build_response(b"", "503 Full", "X-Not-Run: 1"))
         answer = read_message(client).lower()
         self.assertTrue(answer.startswith(b"http/1.1 429"), answer)
         self.assertIn(b"retry-after: 1.5", answer)
@@ -175,23 +187,23 @@
     def test_connection_closed_by_its_server_while_idle_is_not_reused(self) -> None:
         server = self.listener()
         self.start(server)
-        client = self.client(ask())
+        client = self.client(build_request())
         server_connection = self.accept(server)
         read_message(server_connection)
-        server_connection.sendall(reply(b"one"))
+        server_connection.sendall(build_response(b"one"))
         server_connection.shutdown(socket.SHUT_RDWR)
         read_message(client)
-        client.sendall(ask(2))
+        client.sendall(build_request(2))
         second_connection = self.accept(server)
         read_message(second_connection)
-        second_connection.sendall(reply(b"two"))
+        second_connection.sendall(build_response(b"two"))
         self.assertTrue(read_message(client).endswith(b"two"))
         self.assertNotIn("sent.reset", self.stop())
 
     def test_client_disconnect_cancels_its_attempt(self) -> None:
         server = self.listener()
         self.start(server)
-        client = self.client(ask())
+        client = self.client(build_request())
         server_connection = self.accept(server)
         read_message(server_connection)
         client.close()
@@ -203,7 +215,7 @@
     def test_attempt_at_a_silent_server_ends_before_the_client_deadline(self) -> None:
         server = self.listener()
         self.start(server)
-        client = self.client(ask(deadline="900000u"))
+        client = self.client(build_request(deadline="900000u"))
         server_connection = self.accept(server)
         forwarded_deadline = re.search(rb"x-deadline: (\d+)m", read_message(server_connection).lower())
         self.assertTrue(forwarded_deadline and 700 < int(forwarded_deadline[1]) < 890, forwarded_deadline)
@@ -216,9 +228,9 @@
         slow_client = self.client()
         body = b"z" * 60000
         for number in range(60):  # together more than the kernel buffers for a client that does not read
-            slow_client.sendall(ask(number))
-        with self.beside(lambda: self.answer_requests(server, body, 61)):
-            fast_client = self.client(ask(99))
+            slow_client.sendall(build_request(number))
+        with self.run_alongside(lambda: self.answer_requests(server, body, 61)):
+            fast_client = self.client(build_request(99))
             self.assertTrue(read_message(fast_client).endswith(body))
             received = b""
             while received.count(b"HTTP/1.1 200") < 60 or len(received) < 60 * len(body):
@@ -230,14 +242,14 @@
         with selectors.DefaultSelector() as selector:
             selector.register(server, selectors.EVENT_READ)
             while remaining:
-                for key, _ in selector.select(PATIENCE_S):
+                for key, _ in selector.select(WAIT_TIMEOUT_S):
                     if key.fileobj is server:
                         selector.register(self.accept(server), selectors.EVENT_READ)
                         continue
                     sock = key.fileobj
                     assert isinstance(sock, socket.socket)
                     if read_message(sock):
-                        sock.sendall(reply(body))
+                        sock.sendall(build_response(body))
                         remaining -= 1
                     else:
                         selector.unregister(sock)
@@ -247,26 +259,26 @@
         self.start(server)
         for status, data in (
             (400, b"nonsense\r\n\r\n"),
-            (400, ask(kind="unknown")),
-            (400, ask(X_Contract=None)),
-            (400, ask(deadline="soon")),
-            (400, ask(deadline="0m")),
-            (400, ask(X_Metering=None)),
-            (400, ask(X_Metering="units=1,spread=9,first=0")),
-            (400, ask(X_Request_Id=None)),
-            (400, ask(Content_Length="3", Transfer_Encoding="chunked") + b"0\r\n\r\n"),
-            (400, ask(X_Metering="units=1_0,spread=1,first=0")),
-            (400, ask(x_class="change")),
-            (400, ask(X_Metering="units=nan,spread=1,first=0")),
-            (400, ask(X_Metering="units=1,units=1,spread=1,first=0")),
-            (400, ask().replace(b"GET", b"POST", 1)),
-            (400, ask(Content_Length="1") + b"x"),
-            (400, ask().replace(b"HTTP/1.1", b"HTTP/2.0", 1)),
-            (400, ask(kind="change")),
-            (400, ask().replace(b"client=0000", b"client=zzzz")),
-            (404, ask().replace(b"/api", b"/elsewhere")),
-            (413, ask(kind="change", Idempotency_Key="k", Content_Length="60000000") + b"x" * 66000),
-            (400, ask(Content_Length="70000") + b"x" * 66000),
+            (400, build_request(kind="unknown")),
+            (400, build_request(X_Contract=None)),
+            (400, build_request(deadline="soon")),
+            (400, build_request(deadline="0m")),
+            (400, build_request(X_Metering=None)),
+            (400, build_request(X_Metering="units=1,spread=9,first=0")),
+            (400, build_request(X_Request_Id=None)),
+            (400, build_request(Content_Length="3", Transfer_Encoding="chunked") + b"0\r\n\r\n"),
+            (400, build_request(X_Metering="units=1_0,spread=1,first=0")),
+            (400, build_request(x_class="change")),
+            (400, build_request(X_Metering="units=nan,spread=1,first=0")),
+            (400, build_request(X_Metering="units=1,units=1,spread=1,first=0")),
+            (400, build_request().replace(b"GET", b"POST", 1)),
+            (400, build_request(Content_Length="1") + b"x"),
+            (400, build_request().replace(b"HTTP/1.1", b"HTTP/2.0", 1)),
+            (400, build_request(kind="change")),
+            (400, build_request().replace(b"client=0000", b"client=zzzz")),
+            (404, build_request().replace(b"/api", b"/elsewhere")),
+            (413, build_request(kind="change", Idempotency_Key="k", Content_Length="60000000") + b"x" * 66000),
+            (400, build_request(Content_Length="70000") + b"x" * 66000),
         ):
             with self.subTest(data=data[:200]):
                 answer = read_message(self.client(data))
@@ -285,29 +297,29 @@
     def test_duplicate_id_of_a_request_in_flight_gets_400_and_the_first_continues(self) -> None:
         server = self.listener()
         self.start(server)
-        client = self.client(ask(1))
+        client = self.client(build_request(1))
         server_connection = self.accept(server)
         read_message(server_connection)
-        other = self.client(ask(1))
+        other = self.client(build_request(1))
         self.assertTrue(read_message(other).startswith(b"HTTP/1.1 400"))
-        server_connection.sendall(reply(b"first"))
+        server_connection.sendall(build_response(b"first"))
         self.assertTrue(read_message(client).endswith(b"first"))
-        other.sendall(ask(1))  # the request id may be used again
+        other.sendall(build_request(1))  # the request id may be used again
         read_message(server_connection)
-        server_connection.sendall(reply(b"again"))
+        server_connection.sendall(build_response(b"again"))
         self.assertTrue(read_message(other).endswith(b"again"))
 
     def test_silent_partial_and_trickling_clients_are_closed_within_three_seconds(self) -> None:
         server = self.listener()
         self.start(server)
         started_at = time.monotonic()
-        silent, partial, trickling = self.client(), self.client(ask()[:50]), self.client()
+        silent, partial, trickling = self.client(), self.client(build_request()[:50]), self.client()
         served_before = self.client(b"GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n")
         self.assertTrue(read_message(served_before).startswith(b"HTTP/1.1 200"))
-        served_before.sendall(ask()[:50])
+        served_before.sendall(build_request()[:50])
         with selectors.DefaultSelector() as selector:
             selector.register(trickling, selectors.EVENT_READ)
-            while not selector.select(0.1) and time.monotonic() < started_at + PATIENCE_S:
+            while not selector.select(0.1) and time.monotonic() < started_at + WAIT_TIMEOUT_S:
                 trickling.sendall(b"G")
         for client in trickling, partial, served_before:
             self.assertTrue(read_message(client).startswith(b"HTTP/1.1 408"))
@@ -318,15 +330,15 @@
         server = self.listener()
         self.start(server)
         large = bytes(range(256)) * 12288  # 3 MB
-        client = self.client(ask(1))
+        client = self.client(build_request(1))
         server_connection = self.accept(server)
         read_message(server_connection)
-        server_connection.sendall(reply(large))
+        server_connection.sendall(build_response(large))
         self.assertTrue(read_message(client).endswith(b"\r\n\r\n" + large))
         chunked = b"".join(
             b"%x\r\n%s\r\n" % (65536, large[start : start + 65536]) for start in range(0, 1 << 20, 65536)
         )
-        client.sendall(ask(2))
+        client.sendall(build_request(2))
         read_message(server_connection)  # on the same connection: nothing of the first answer is left on it
         server_connection.sendall(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked + b"0\r\n\r\n")
         data = b""
@@ -341,13 +353,13 @@
     def test_client_disconnect_before_a_large_answer_closes_the_server_connection(self) -> None:
         server = self.listener()
         self.start(server)
-        client = self.client(ask(1))
+        client = self.client(build_request(1))
         server_connection = self.accept(server)
         read_message(server_connection)
         client.close()  # before the server answers
         time.sleep(0.2)  # lets the gateway notice the closed connection before the answer starts
         server_connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000\r\n\r\n" + b"x" * 100000)
-        server_connection.settimeout(PATIENCE_S)
+        server_connection.settimeout(WAIT_TIMEOUT_S)
         with contextlib.suppress(ConnectionResetError):
             while server_connection.recv(65536):
                 pass  # the connection must end whatever is received: no client is left to read the rest
@@ -356,7 +368,7 @@
         server = self.listener()
         self.start(server)
         body = b"x" * 60000
-        head = ask(kind="change", Idempotency_Key="k1").replace(b"GET ", b"POST ", 1)
+        head = build_request(kind="change", Idempotency_Key="k1").replace(b"GET ", b"POST ", 1)
         head = head[:-2] + b"Content-Length: %d\r\n\r\n" % len(body)
         client = self.client(head[:40])
         time.sleep(1.8)  # just below the 2 s that a client may spend on a request head
@@ -366,7 +378,7 @@
             client.sendall(body[start : start + 8000])
         server_connection = self.accept(server)
         self.assertTrue(read_message(server_connection).endswith(body))
-        server_connection.sendall(reply(b"taken"))
+        server_connection.sendall(build_response(b"taken"))
         self.assertTrue(read_message(client).endswith(b"taken"))
 
     def test_many_silent_connections_do_not_block_active_clients(self) -> None:
@@ -393,27 +405,27 @@
             self.assertTrue(read_message(client).startswith(b"HTTP/1.1 200"))
 
 
-class StartAndShutdownTest(Story):
+class StartAndShutdownTest(GatewayTestCase):
     """The program shuts down without losing requests, and names the field when its configuration is wrong."""
 
     def test_requests_accepted_before_shutdown_are_answered_and_the_exit_code_is_zero(self) -> None:
         server = self.listener()
         self.start(server)
-        client, idle = self.client(ask()), self.client()
+        client, idle = self.client(build_request()), self.client()
         server_connection = self.accept(server)
         read_message(server_connection)
         self.program.send_signal(signal.SIGTERM)
-        late = self.client(ask(2))  # new clients are accepted for a while after SIGTERM
+        late = self.client(build_request(2))  # new clients are accepted for a while after SIGTERM
         second = self.accept(server)
         read_message(second)
-        second.sendall(reply(b"late"))
+        second.sendall(build_response(b"late"))
         self.assertTrue(read_message(late).endswith(b"late"))
         self.assertEqual(idle.recv(100), b"")  # idle connections are closed while the first request is still in flight
-        server_connection.sendall(reply(b"early"))
+        server_connection.sendall(build_response(b"early"))
         answer = read_message(client)
         self.assertTrue(answer.endswith(b"early"))
         self.assertIn(b"connection: close", answer.lower())
-        _, errors = self.program.communicate(timeout=PATIENCE_S)
+        _, errors = self.program.communicate(timeout=WAIT_TIMEOUT_S)
         self.assertEqual(self.program.returncode, 0, errors)
         self.assertIn("answered.served=2", errors)
 
@@ -433,95 +445,95 @@
         ):
             with self.subTest(field=field):
                 program = self.start(**change)
-                _, errors = program.communicate(timeout=PATIENCE_S)
+                _, errors = program.communicate(timeout=WAIT_TIMEOUT_S)
                 self.assertEqual(program.returncode, 2)
                 self.assertEqual(len(errors.splitlines()), 1)
                 self.assertIn(field, errors)
 
     def test_settings_error_names_the_invalid_field(self) -> None:
-        grade: dict[str, Any] = PROFILE["Grades"][0]
+        grade: dict[str, Any] = TEST_SETTINGS["Grades"][0]
         for field, change in (
             ("Grades[0].DeadlineMs", {"Grades": [grade | {"DeadlineMs": "long"}]}),
             ("Limits.Cancel", {"Limits": {"Cancel": 1}}),
             ("Rules", {"Rules": []}),
         ):
             with self.subTest(field=field), self.assertRaises(SettingsError) as caught:
-                read_settings(PROFILE | change)
+                read_settings(TEST_SETTINGS | change)
             self.assertIn(f"settings.{field}", str(caught.exception))
 
 
-class DiscoveryTest(Story):
+class DiscoveryTest(GatewayTestCase):
     """Discovery may answer partially, with invalid data or not at all."""
 
     def test_watch_continues_after_truncated_and_invalid_answers_and_drains_apply(self) -> None:
         discovery_server, old, new = self.listener(), self.listener(), self.listener()
-        self.start(old, discovery=address(discovery_server))
+        self.start(old, discovery=format_address(discovery_server))
         first = self.accept(discovery_server)
         self.assertTrue(read_message(first).startswith(b"GET /v1/servers HTTP/1.1"))
-        first.sendall(reply(b'{"version":2,"full":true,"servers":[]}')[:-9])
+        first.sendall(build_response(b'{"version":2,"full":true,"servers":[]}')[:-9])
         first.close()
         second = self.accept(discovery_server)
         read_message(second)
-        second.sendall(reply(b'{"version":2,"full":true,"servers":[{"id":"s0"}]}'))
+        second.sendall(build_response(b'{"version":2,"full":true,"servers":[{"id":"s0"}]}'))
         self.assertEqual(second.recv(100), b"")  # invalid entry: the connection is dropped and the list requested again
         third = self.accept(discovery_server)
         read_message(third)
-        entries = [entry("s0", address(old)), entry("s1", address(new))]
-        third.sendall(reply(json.dumps({"version": 2, "full": True, "servers": entries}).encode()))
+        entries = [server_entry("s0", format_address(old)), server_entry("s1", format_address(new))]
+        third.sendall(build_response(json.dumps({"version": 2, "full": True, "servers": entries}).encode()))
         self.assertIn(b"after=2&wait_ms=", read_message(third))
-        drained_entries = [entry("s0", address(old), "Terminating")]
-        third.sendall(reply(json.dumps({"version": 3, "full": False, "servers": drained_entries}).encode()))
+        drained_entries = [server_entry("s0", format_address(old), "Terminating")]
+        third.sendall(build_response(json.dumps({"version": 3, "full": False, "servers": drained_entries}).encode()))
         self.assertIn(b"after=3&wait_ms=", read_message(third))  # sent immediately, so the watch continues
         client = self.client()
         for number in range(5):
-            client.sendall(ask(number))
+            client.sendall(build_request(number))
             if number == 0:
                 new_server_connection = self.accept(new)
             read_message(new_server_connection)
-            new_server_connection.sendall(reply(b"new"))
+            new_server_connection.sendall(build_response(b"new"))
             self.assertTrue(read_message(client).endswith(b"new"))
 
     def test_changes_of_an_older_version_are_ignored_and_the_full_list_is_requested(self) -> None:
         discovery_server, old, new = self.listener(), self.listener(), self.listener()
-        self.start(old, discovery=address(discovery_server))
+        self.start(old, discovery=format_address(discovery_server))
         connection = self.accept(discovery_server)
         read_message(connection)
-        entries = [entry("s0", address(old), "Terminating"), entry("s1", address(new))]
-        full_list_reply = reply(json.dumps({"version": 7, "full": True, "servers": entries}).encode())
+        entries = [server_entry("s0", format_address(old), "Terminating"), server_entry("s1", format_address(new))]
+        full_list_reply = build_response(json.dumps({"version": 7, "full": True, "servers": entries}).encode())
         connection.sendall(full_list_reply)
         self.assertIn(b"after=7", read_message(connection))
         older_changes = {
             "version": 5,
             "full": False,
-            "servers": [entry("s0", address(old)), {"id": "s1", "state": "Gone"}],
+            "servers": [server_entry("s0", format_address(old)), {"id": "s1", "state": "Gone"}],
         }
         # As a discovery replica that lags behind would send.
-        connection.sendall(reply(json.dumps(older_changes).encode()))
+        connection.sendall(build_response(json.dumps(older_changes).encode()))
         self.assertEqual(connection.recv(100), b"")
         connection = self.accept(discovery_server)
         self.assertTrue(read_message(connection).startswith(b"GET /v1/servers HTTP/1.1"))
         for number in range(4):
-            client = self.client(ask(number))
+            client = self.client(build_request(number))
             if number == 0:
                 new_server_connection = self.accept(new)
             read_message(new_server_connection)
-            new_server_connection.sendall(reply(b"new"))
+            new_server_connection.sendall(build_response(b"new"))
             self.assertTrue(read_message(client).endswith(b"new"))
         connection.sendall(full_list_reply)
         self.assertIn(b"after=7", read_message(connection))
         self.assertIn("discovery.older=1", self.stop())
 
     def test_failing_silent_or_late_discovery_causes_no_request_storm(self) -> None:
-        listing = reply(json.dumps({"version": 2, "full": True, "servers": []}).encode())
+        listing = build_response(json.dumps({"version": 2, "full": True, "servers": []}).encode())
         for fault, max_connections in (("refuses", 12), ("closes", 12), ("silent", 3), ("late", 3)):
             with self.subTest(fault=fault):
                 discovery_server, server = self.listener(), self.listener()
-                self.start(server, discovery=address(discovery_server))
+                self.start(server, discovery=format_address(discovery_server))
                 connections, deadline = [], time.monotonic() + 1.0
                 # An answer counts as late only after the gateway has asked again, however slowly it started.
                 while time.monotonic() < deadline or (fault == "late" and len(connections) < 2):
                     discovery_server.settimeout(
-                        max(0.01, deadline - time.monotonic()) if fault != "late" else PATIENCE_S
+                        max(0.01, deadline - time.monotonic()) if fault != "late" else WAIT_TIMEOUT_S
                     )
                     try:
                         connections.append(self.accept(discovery_server))
@@ -529,68 +541,68 @@
                         break
                     read_message(connections[-1])
                     if fault == "refuses":
-                        connections[-1].sendall(reply(b"", "503 Busy"))
+                        connections[-1].sendall(build_response(b"", "503 Busy"))
                     elif fault == "closes":
                         connections[-1].close()
                 if fault == "late":
                     with contextlib.suppress(OSError):
                         connections[0].sendall(listing)  # an answer to an abandoned request must not empty the list
                 self.assertLessEqual(len(connections), max_connections)
-                client = self.client(ask(1))  # the configured initial list stays in use
+                client = self.client(build_request(1))  # the configured initial list stays in use
                 server_connection = self.accept(server)
                 read_message(server_connection)
-                server_connection.sendall(reply(b"still"))
+                server_connection.sendall(build_response(b"still"))
                 self.assertTrue(read_message(client).endswith(b"still"))
-                self.end()
+                self.kill_gateway()
 
     def test_dead_discovery_connection_is_replaced_within_seconds(self) -> None:
         discovery_server, old, new = self.listener(), self.listener(), self.listener()
-        self.start(old, discovery=address(discovery_server))
+        self.start(old, discovery=format_address(discovery_server))
         dead_connection = self.accept(discovery_server)
         read_message(dead_connection)
-        listing = {"version": 2, "full": True, "servers": [entry("s0", address(old))]}
-        dead_connection.sendall(reply(json.dumps(listing).encode()))
+        listing = {"version": 2, "full": True, "servers": [server_entry("s0", format_address(old))]}
+        dead_connection.sendall(build_response(json.dumps(listing).encode()))
         self.assertIn(b"after=2", read_message(dead_connection))  # no answer follows
         discovery_server.settimeout(4.0)
         new_connection = self.accept(discovery_server)
         self.assertIn(b"after=2", read_message(new_connection))
-        changes = [{"id": "s0", "state": "Gone"}, entry("s1", address(new))]
-        new_connection.sendall(reply(json.dumps({"version": 3, "full": False, "servers": changes}).encode()))
-        client = self.client(ask())
+        changes = [{"id": "s0", "state": "Gone"}, server_entry("s1", format_address(new))]
+        new_connection.sendall(build_response(json.dumps({"version": 3, "full": False, "servers": changes}).encode()))
+        client = self.client(build_request())
         new_server_connection = self.accept(new)
         read_message(new_server_connection)
-        new_server_connection.sendall(reply(b"new"))
+        new_server_connection.sendall(build_response(b"new"))
         self.assertTrue(read_message(client).endswith(b"new"))
 
     def test_reload_changes_the_discovery_address_and_an_invalid_one_changes_nothing(self) -> None:
         discovery_server, other, old, new = (self.listener() for _ in range(4))
-        with unittest.mock.patch.dict(os.environ, EDGE_DISCOVERY=address(discovery_server)):
+        with unittest.mock.patch.dict(os.environ, EDGE_DISCOVERY=format_address(discovery_server)):
             program = self.start(old)
         first = self.accept(discovery_server)
         read_message(first)
-        listing = {"version": 9, "full": True, "servers": [entry("s0", address(old))]}
-        first.sendall(reply(json.dumps(listing).encode()))
+        listing = {"version": 9, "full": True, "servers": [server_entry("s0", format_address(old))]}
+        first.sendall(build_response(json.dumps(listing).encode()))
         self.assertIn(b"after=9", read_message(first))
         self.reload("{")
         assert program.stderr is not None
         self.assertIn("configuration not taken over", program.stderr.readline())
-        self.reload(json.dumps(self.whole | {"discovery": address(other)}))
+        self.reload(json.dumps(self.config | {"discovery": format_address(other)}))
         second = self.accept(other)
         # A new address starts without a version, not after version 9.
         self.assertTrue(read_message(second).startswith(b"GET /v1/servers HTTP/1.1"))
-        client = self.client(ask(1))
+        client = self.client(build_request(1))
         old_server_connection = self.accept(old)  # the old list stays in use until the new address has answered
         read_message(old_server_connection)
-        old_server_connection.sendall(reply(b"old"))
+        old_server_connection.sendall(build_response(b"old"))
         self.assertTrue(read_message(client).endswith(b"old"))
-        listing = {"version": 2, "full": True, "servers": [entry("s1", address(new))]}
-        second.sendall(reply(json.dumps(listing).encode()))
+        listing = {"version": 2, "full": True, "servers": [server_entry("s1", format_address(new))]}
+        second.sendall(build_response(json.dumps(listing).encode()))
         self.assertIn(b"after=2", read_message(second))
         self.assertEqual(first.recv(100), b"")  # the watch at the old address is closed
-        client.sendall(ask(2))
+        client.sendall(build_request(2))
         new_server_connection = self.accept(new)
         read_message(new_server_connection)
-        new_server_connection.sendall(reply(b"new"))
+        new_server_connection.sendall(build_response(b"new"))
         self.assertTrue(read_message(client).endswith(b"new"))
         self.assertIn("reload.refused=1 reload.taken=1", self.stop())
 
@@ -604,8 +616,8 @@
 
     def run_loop_until(self, condition: Any) -> None:
         """Turn the event loop until the condition holds; fails after ``PATIENCE_S``."""
-        deadline = now_ms() + PATIENCE_S * 1000.0
-        self.loop.after(PATIENCE_S * 1000.0, lambda: None)
+        deadline = now_ms() + WAIT_TIMEOUT_S * 1000.0
+        self.loop.after(WAIT_TIMEOUT_S * 1000.0, lambda: None)
         while not condition():
             self.assertLess(now_ms(), deadline, "the condition was not met in time")
             self.loop.turn()
@@ -616,8 +628,8 @@
             socket.create_connection(server.getsockname()),
         ):  # the accept queue is full, so the connection attempt stays pending
             fleet = ServerRegistry(("a",))
-            fleet.apply({"version": 1, "full": True, "servers": [entry("s0", address(server))]})
-            platform = Platform(read_settings(PROFILE), ("view", "change"), ("plan",))
+            fleet.apply({"version": 1, "full": True, "servers": [server_entry("s0", format_address(server))]})
+            platform = Platform(read_settings(TEST_SETTINGS), ("view", "change"), ("plan",))
             pool = ConnectionPool(self.loop, fleet, platform, self.counts, ConnectionPlan(Links(), 10, 30000.0), 5000.0)
             results: list[Any] = []
 
@@ -626,7 +638,7 @@
 
             self.loop.spawn(attempt())
             self.run_loop_until(lambda: pool.open)
-            drained_entry = entry("s0", address(server), "Terminating")
+            drained_entry = server_entry("s0", format_address(server), "Terminating")
             fleet.apply({"version": 2, "full": False, "servers": [drained_entry]})
             server.accept()[0].close()  # frees the queue, so the connection is established
             self.run_loop_until(lambda: results)
@@ -660,10 +672,10 @@
         self.assertIn("ZeroDivisionError", self.log_lines[0])
 
     def test_attempt_whose_message_cannot_be_encoded_ends_as_not_written(self) -> None:
-        with listen() as server:
+        with open_listener() as server:
             fleet = ServerRegistry(("a",))
-            fleet.apply({"version": 1, "full": True, "servers": [entry("s0", address(server), "Ready")]})
-            platform = Platform(read_settings(PROFILE), ("view", "change"), ("plan",))
+            fleet.apply({"version": 1, "full": True, "servers": [server_entry("s0", format_address(server), "Ready")]})
+            platform = Platform(read_settings(TEST_SETTINGS), ("view", "change"), ("plan",))
             pool = ConnectionPool(self.loop, fleet, platform, self.counts, ConnectionPlan(Links(), 10, 30000.0), 250.0)
             results: list[Any] = []
 
@@ -676,7 +688,7 @@
             self.assertEqual(pool.open, 0)
 
     def test_customer_gateway_set_and_handshake_price_reach_the_decision_module(self) -> None:
-        settings = read_settings(PROFILE | {"Balancers": 9, "Charges": {"Handshake": 0.08}})
+        settings = read_settings(TEST_SETTINGS | {"Balancers": 9, "Charges": {"Handshake": 0.08}})
         self.assertEqual(settings.handshake_price, 0.08)
         headers = {
             b"x-class": b"view",
@@ -696,7 +708,7 @@
         self.assertEqual((events[0].set_size, events[0].set_first), (3, 7))
 
     def test_load_report_with_an_invalid_number_is_ignored(self) -> None:
-        platform = Platform(read_settings(PROFILE), ("view", "change"), ("plan",))
+        platform = Platform(read_settings(TEST_SETTINGS), ("view", "change"), ("plan",))
         self.assertEqual(platform.parse_load_report(b"LOAD inflight=3.5, qps=7"), {"rif": 3.5})
         for value in (b"nan", b"inf", b"-1", b"1_0", b"1e999", b"much", b""):
             self.assertEqual(platform.parse_load_report(b"LOAD inflight=" + value), {}, value)
@@ -704,7 +716,7 @@
     def test_servers_in_an_unknown_state_are_cordoned_and_gone_ones_deregistered(self) -> None:
         fleet = ServerRegistry(("a", "b"))
         states = ("Ready", "Ready", "Odd")
-        entries = [entry(f"s{index}", f"127.0.0.1:{index + 1}", state) for index, state in enumerate(states)]
+        entries = [server_entry(f"s{index}", f"127.0.0.1:{index + 1}", state) for index, state in enumerate(states)]
         entries[1]["zone"] = "b"
         update = fleet.apply({"version": 1, "full": True, "servers": entries})
         phases_and_zones = [(server.phase, server.zone) for server in update.servers]
@@ -734,7 +746,7 @@
 
     def test_counter_calls_that_are_late_busy_broken_or_unwritten_end_exactly_once(self) -> None:
         replies: list[tuple[int, Ending, float]] = []
-        with listen() as server:
+        with open_listener() as server:
             counter = CounterClient(
                 self.loop,
                 server.getsockname(),
