--- a/benchmarks/scale/subjects/quota.py
+++ b/benchmarks/scale/subjects/quota.py
@@ -11,7 +11,7 @@
 from benchmarks.scale.installation import PEAK_REQUESTS_PER_S, PEER_MESSAGES_PER_S, SET_SIZE
 from benchmarks.scale.sampling import MEBIBYTE, Effort, Samples, cpu_ms, held_bytes
 from petrelhall.capacity.records import Slope
-from petrelhall.gateway.sharing import FORGET_MS, IDLE_MS
+from petrelhall.gateway.sharing import ACCOUNT_SWEEP_INTERVAL_MS, IDLE_ACCOUNT_TTL_MS
 from petrelhall.quota import ledger as ledgers
 from petrelhall.quota import words
 from petrelhall.quota.exchange import Exchange
@@ -77,9 +77,9 @@
                     spent.calls += 1
                     self.exchange.answered(self.now, call.name, True, False, max(0.0, call.amount))
             self.book(spent, self.ledger.turn(self.now))
-            if self.now - swept >= FORGET_MS:
+            if self.now - swept >= ACCOUNT_SWEEP_INTERVAL_MS:
                 swept = self.now
-                self.ledger.forget(self.now, IDLE_MS)
+                self.ledger.forget(self.now, IDLE_ACCOUNT_TTL_MS)
             turn_s = time.process_time() - began
             spent.cpu_s += turn_s
             spent.longest_ms = max(spent.longest_ms, 1000.0 * turn_s)
@@ -160,7 +160,7 @@
         "tenants",
         "tracemalloc counts objects; loans that stand and asks that are out add to it.",
     )
-    seconds = min(effort.seconds, UNDROPPED * IDLE_MS / 1000.0)
+    seconds = min(effort.seconds, UNDROPPED * IDLE_ACCOUNT_TTL_MS / 1000.0)
     for tenants in effort.accounts:
         for seed in range(1, 1 + effort.repeats):
             spent = Shares(tenants, seed, False).run(seconds)
--- a/petrelhall/gateway/agreement.py
+++ b/petrelhall/gateway/agreement.py
@@ -61,10 +61,10 @@
     documents: tuple[bytes, ...]
 
 
-class Agreement:
+class PolicyConsensus:
     """One gateway's part in agreeing on the policy; not there where the operators' file does not ask for it."""
 
-    changed_by = "petrelhall policy propose"
+    change_command = "petrelhall policy propose"
 
     def __init__(
         self,
@@ -94,9 +94,9 @@
             settings.late_ms,
             settings.unsure == "strictest",
         )
-        self.lock: int | None = None
-        self.place = settings.folder or tempfile.gettempdir()
-        alone = self.take_lock()  # else a process that this one replaces votes as long as it serves
+        self.lock_fd: int | None = None
+        self.lock_folder = settings.folder or tempfile.gettempdir()
+        alone = self.acquire_lock()  # else a process that this one replaces votes as long as it serves
         kept = self.load() if alone else None
         life = int.from_bytes(os.urandom(4), "big") >> 1 | 1  # never a number of an earlier life, by chance
         self.core = Accord(
@@ -113,9 +113,9 @@
         self.core.may_vote = alone
         self.epoch = 0  # of what is served: decisions of another epoch are not carried out
         self.waiting: set[Callable[[], None]] = set()
-        self.held_at = -math.inf  # when requests could last be decided on
+        self.last_held_at = -math.inf  # when requests could last be decided on
         self.unstamped = settings.begin == "file"  # serve by the file until anything is known
-        self.ended = self.begun = False  # begun: requests could be decided on once
+        self.ended = self.was_ready = False  # begun: requests could be decided on once
         peers.datagram_handlers[KIND] = self.heard
         loop.after(TICK_MS, self.tick)
 
@@ -127,7 +127,7 @@
             return False
         now = now_ms()
         if self.core.allowed(now) or (self.unstamped and not self.core.certain):
-            self.held_at, self.begun = now, True
+            self.last_held_at, self.was_ready = now, True
             return True
         return False
 
@@ -142,7 +142,7 @@
             version,
             digest.hex()[:8].encode(),
             b"either" if before else b"one",
-            self.held_at - OFFSET_MS,
+            self.last_held_at - OFFSET_MS,
         )
 
     def admitted(self, request: Request) -> None:
@@ -153,7 +153,7 @@
 
     def worth_waiting(self) -> float:
         """Give for how many ms more a request should wait: a change is just taking hold, or 0."""
-        return max(0.0, self.held_at + self.settings.wait_ms - now_ms())
+        return max(0.0, self.last_held_at + self.settings.wait_ms - now_ms())
 
     def wait(self, wake: Callable[[], None], off: bool = False) -> None:
         """Have a task woken once requests may be decided on, or no more."""
@@ -165,7 +165,7 @@
         """Take a turn by the clock."""
         if not self.ended:
             self.loop.after(TICK_MS, self.tick)
-            if not self.core.may_vote and self.take_lock():
+            if not self.core.may_vote and self.acquire_lock():
                 kept = self.load()
                 self.core.take_over(
                     now_ms(), kept.memory if kept is not None else None, kept.documents if kept is not None else ()
@@ -185,7 +185,7 @@
                 self.peers.send(action.content, (action.to,))
                 self.counts.add("accord", "words")
             elif isinstance(action, Keep):
-                if not self.keep(action):
+                if not self.save(action):
                     self.core.handle(now_ms(), Quiet())  # it may not say what it could forget
                     break
             elif isinstance(action, Serve):
@@ -196,7 +196,7 @@
                 self.counts.add("accord", f"dropped_{action.why}")
         if self.core.serving is not before:
             self.epoch += 1
-        if (self.waiting or not self.begun) and self.holds():
+        if (self.waiting or not self.was_ready) and self.holds():
             for wake in list(self.waiting):
                 wake()
 
@@ -216,7 +216,7 @@
         except OperatorError as error:
             return str(error)
 
-    def look_again(self) -> None:
+    def on_operator_file_changed(self) -> None:
         """Check documents anew, since the own file has changed: what could not be served may be able to now."""
         self.core.checks.forget()
 
@@ -224,9 +224,9 @@
         """A newer process of this gateway speaks and votes from now on; the lease that is held runs on."""
         self.handle(Quiet())
         self.ended = True
-        if self.lock is not None:
-            os.close(self.lock)
-            self.lock = None
+        if self.lock_fd is not None:
+            os.close(self.lock_fd)
+            self.lock_fd = None
 
     # The folder
 
@@ -256,9 +256,9 @@
             self.log(f"policy: {self.path} ignored: {error}")
             return None
 
-    def take_lock(self) -> bool:
+    def acquire_lock(self) -> bool:
         """Have this process alone vote for this member; where no file can be made no second one is ever started."""
-        path = os.path.join(self.place, f"petrelhall-{self.name}-votes.lock")
+        path = os.path.join(self.lock_folder, f"petrelhall-{self.name}-votes.lock")
         try:
             lock = os.open(path, os.O_CREAT | os.O_RDWR, 0o600)
         except OSError:
@@ -268,10 +268,10 @@
         except OSError:
             os.close(lock)
             return False
-        self.lock = lock
+        self.lock_fd = lock
         return True
 
-    def keep(self, action: Keep) -> bool:
+    def save(self, action: Keep) -> bool:
         """Write a memory down; False where it had to be and could not."""
         if not self.settings.folder:
             return True
--- a/petrelhall/gateway/learning.py
+++ b/petrelhall/gateway/learning.py
@@ -64,10 +64,10 @@
             return str(error)
 
 
-class Learning:
+class ConfigurationLearner:
     """One gateway's part in the distribution; not there where the operators' file does not ask for it."""
 
-    changed_by = "petrelhall config put"
+    change_command = "petrelhall config put"
 
     def __init__(
         self,
@@ -96,8 +96,8 @@
         self.upstream = Upstream(loop, addresses[first:] + addresses[:first], self.handle, log)
         self.epoch = 0  # of what is served: decisions of another epoch are not carried out
         self.waiting: set[Callable[[], None]] = set()
-        self.held_at = -math.inf  # when requests could last be decided on
-        self.ended = self.begun = False  # begun: requests could be decided on once
+        self.last_held_at = -math.inf  # when requests could last be decided on
+        self.ended = self.was_ready = False  # begun: requests could be decided on once
         self.timer: Timer | None = None
         self.arm()
 
@@ -109,7 +109,7 @@
             return False
         now = now_ms()
         if self.core.admits(now) is not None or self.serves_by_file():
-            self.held_at, self.begun = now, True
+            self.last_held_at, self.was_ready = now, True
             return True
         return False
 
@@ -122,12 +122,12 @@
         if self.settings.stamp and isinstance(request.message, ForwardedRequest):
             name = self.core.document.name
             # By the machine's monotonic clock: what all processes of a machine share.
-            stamp = b"%d %s one %.3f" % (name.number, name.digest.hex()[:8].encode(), self.held_at - OFFSET_MS)
+            stamp = b"%d %s one %.3f" % (name.number, name.digest.hex()[:8].encode(), self.last_held_at - OFFSET_MS)
             request.message.headers.append((b"X-Policy", stamp))
 
     def worth_waiting(self) -> float:
         """Give for how many ms more a request should wait: a change is just taking hold, or 0."""
-        return max(0.0, self.held_at + self.settings.wait_ms - now_ms())
+        return max(0.0, self.last_held_at + self.settings.wait_ms - now_ms())
 
     def wait(self, wake: Callable[[], None], off: bool = False) -> None:
         """Have a task woken once requests may be decided on, or no more."""
@@ -155,7 +155,7 @@
             elif isinstance(action, Dropped):
                 self.counts.add("distribution", f"dropped_{action.why}")
         self.arm()
-        if (self.waiting or not self.begun) and self.holds():
+        if (self.waiting or not self.was_ready) and self.holds():
             for wake in list(self.waiting):
                 wake()
 
@@ -167,7 +167,7 @@
         self.apply(decode(content) if content is not None else self.shared, None)
         self.log(f"configuration: version {action.version.number} is in force here")
 
-    def look_again(self) -> None:
+    def on_operator_file_changed(self) -> None:
         """Hear that the own file has changed: what could not be served may be able to now, with the next change."""
 
     def hand_over(self) -> None:
--- a/petrelhall/gateway/program.py
+++ b/petrelhall/gateway/program.py
@@ -40,10 +40,10 @@
 from petrelhall.operator.shared import deadlines_of, plans_of, refused, shift_of, strictest
 
 if TYPE_CHECKING:
-    from petrelhall.gateway.agreement import Agreement
-    from petrelhall.gateway.learning import Learning
+    from petrelhall.gateway.agreement import PolicyConsensus
+    from petrelhall.gateway.learning import ConfigurationLearner
     from petrelhall.gateway.membership import Membership
-    from petrelhall.gateway.sharing import Sharing
+    from petrelhall.gateway.sharing import QuotaSharing
     from petrelhall.gateway.shifting import TrafficShifter
 
 RESERVED_DESCRIPTORS = 40  # for everything but client and server connections, with some spare
@@ -91,8 +91,8 @@
         self.shifter: TrafficShifter | None = None
         self.peers: Peers | None = None
         self.membership: Membership | None = None
-        self.sharing: Sharing | None = None
-        self.agreement: Agreement | Learning | None = None
+        self.sharing: QuotaSharing | None = None
+        self.agreement: PolicyConsensus | ConfigurationLearner | None = None
         problem = self.policy_problem(operator_settings.shared)
         if problem:
             raise OperatorError(f"{operator_path}: shared.{problem}")
@@ -142,9 +142,9 @@
         if self.operator_settings.distribution.on:
             mgmt.views["configuration"] = self.agreement.view
             return
-        from petrelhall.gateway.agreement import Agreement
+        from petrelhall.gateway.agreement import PolicyConsensus
 
-        if isinstance(self.agreement, Agreement):
+        if isinstance(self.agreement, PolicyConsensus):
             mgmt.views["policy"], mgmt.policy = self.agreement.view, self.agreement.call
 
     def is_ready(self) -> bool:
@@ -157,7 +157,7 @@
         During an upgrade the new process does not wait for the policy: the process that it replaces answers health
         checks at the same address and is serving.
         """
-        policy_known = self.agreement is None or self.agreement.begun or self.handover.joined
+        policy_known = self.agreement is None or self.agreement.was_ready or self.handover.joined
         return bool(self.fleet.addresses) and policy_known
 
     def report_ready(self) -> bool:
@@ -224,9 +224,9 @@
                 )
                 self.request_handler.on_attempt_end = self.membership.record_attempt
             if self.operator_settings.accord.on and self.has_peer_network():
-                from petrelhall.gateway.agreement import Agreement
+                from petrelhall.gateway.agreement import PolicyConsensus
 
-                self.agreement = Agreement(
+                self.agreement = PolicyConsensus(
                     self.loop,
                     self.peers,
                     self.operator_settings.accord,
@@ -243,9 +243,9 @@
         if self.operator_settings.distribution.on:
             self.start_configuration_learner()
         if self.operator_settings.quota.on:
-            from petrelhall.gateway.sharing import Sharing
+            from petrelhall.gateway.sharing import QuotaSharing
 
-            self.sharing = Sharing(
+            self.sharing = QuotaSharing(
                 self.loop,
                 self.peers,
                 self.operator_settings.quota,
@@ -263,10 +263,10 @@
 
     def start_configuration_learner(self) -> None:
         """Receive the shared policy from the distributors."""
-        from petrelhall.gateway.learning import Learning
+        from petrelhall.gateway.learning import ConfigurationLearner
 
         config = self.config
-        self.agreement = Learning(
+        self.agreement = ConfigurationLearner(
             self.loop,
             self.operator_settings.distribution,
             config.settings,
@@ -348,7 +348,7 @@
             new_config = load(os.environ, reloading=True)
             new_operator = read(self.operator_path) if self.operator_path else self.operator_settings
             if self.agreement is not None and new_operator.shared != self.operator_settings.shared:
-                changed_by = self.agreement.changed_by
+                changed_by = self.agreement.change_command
                 self.log.write(
                     f"operators' file: `shared` can only be changed by `{changed_by}`; keeping the old value"
                 )
@@ -372,7 +372,7 @@
             if self.agreement is None:
                 self.apply_policy(new_operator.shared, None)
             else:
-                self.agreement.look_again()
+                self.agreement.on_operator_file_changed()
             self.configure_shifter()
             self.log.write(f"operators' file taken over: {', '.join(changes)}")
         if new_config.discovery != self.discovery_watch.address:
@@ -381,7 +381,7 @@
             self.counter.retire()
             self.counter = self.open_counter(new_config.counter)
         if self.sharing is not None and new_config.counter is not None:
-            self.sharing.move(new_config.counter)
+            self.sharing.set_counter_address(new_config.counter)
 
     def install_signal_handlers(self) -> None:
         """Have signals wake the event loop, which reads their numbers from a pipe."""
--- a/petrelhall/gateway/sharing.py
+++ b/petrelhall/gateway/sharing.py
@@ -21,15 +21,15 @@
 from petrelhall.quota.shares import Terms
 from petrelhall.quota.words import KIND
 
-FORGET_MS = 5000.0  # between two sweeps
-IDLE_MS = (
+ACCOUNT_SWEEP_INTERVAL_MS = 5000.0  # between two sweeps
+IDLE_ACCOUNT_TTL_MS = (
     20000.0  # of accounts that are dropped: the module has let go of their customers before (IDLE_CUSTOMER_TTL_MS)
 )
 NONE = math.inf  # of a plan without a quota or a ceiling
 UNADDED = {Ending.FULL, Ending.ERROR, Ending.CONNECT_FAILED}  # calls of which surely nothing came
 
 
-class Owned:
+class OwnedAccounts:
     """What this gateway owns of one customer."""
 
     __slots__ = ("ledger", "quota", "ceiling")
@@ -61,7 +61,7 @@
         self.ledger.dawn(now)
 
 
-class Sharing:
+class QuotaSharing:
     """One gateway's shares; not there where the operators' file does not ask for them."""
 
     def __init__(
@@ -85,13 +85,13 @@
         self.exchange = Exchange(self.ledger) if wanted and counter is not None else None
         self.counter: CounterClient | None = None
         if counter is not None:
-            self.move(counter)
+            self.set_counter_address(counter)
         if peers is not None:
             peers.datagram_handlers[KIND] = self.heard
         self.begun = self.ended = False
         loop.after(TURN_MS, self.turn)
 
-    def account(self, customer: Customer, now: float) -> Owned | None:
+    def account(self, customer: Customer, now: float) -> OwnedAccounts | None:
         """Give what is owned of a customer; plans whose cost is known only afterwards keep the module's stores."""
         plan = customer.plan
         if self.platform.cost_after:
@@ -104,7 +104,7 @@
         for rate, burst, ceiling in ((plan.rate, plan.burst, False), (plan.ceiling_rate, plan.ceiling_burst, True)):
             terms = Terms(rate, burst, size, self.exchange is not None)
             accounts.append(self.ledger.account(customer.code, ceiling, terms, others, now) if rate > 0.0 else None)
-        return Owned(self.ledger, accounts[0], accounts[1])
+        return OwnedAccounts(self.ledger, accounts[0], accounts[1])
 
     def turn(self) -> None:
         """Ask and lend."""
@@ -118,9 +118,9 @@
         if self.exchange is not None:  # first: who is short is then asked about among the others as well
             self.ask(self.exchange.turn(now))
         self.act(self.ledger.turn(now))
-        if now - self.swept >= FORGET_MS:
+        if now - self.swept >= ACCOUNT_SWEEP_INTERVAL_MS:
             self.swept = now
-            self.ledger.forget(now, IDLE_MS)
+            self.ledger.forget(now, IDLE_ACCOUNT_TTL_MS)
 
     def heard(self, number: int, content: bytes) -> None:
         """Take in a word."""
@@ -136,13 +136,15 @@
             else:
                 self.counts.add("quota", f"dropped_{action.why}")
 
-    def move(self, counter: Address) -> None:
+    def set_counter_address(self, counter: Address) -> None:
         """Call the counter at this address from now on; what is asked of another is still heard."""
         if self.exchange is None or (self.counter is not None and self.counter.address == counter):
             return
         if self.counter is not None:
             self.counter.retire()
-        self.counter = CounterClient(self.loop, counter, self.platform.counter_wait_ms, self.reply, self.counts)
+        self.counter = CounterClient(
+            self.loop, counter, self.platform.counter_wait_ms, self.on_counter_reply, self.counts
+        )
 
     def ask(self, calls: list[Call]) -> None:
         """Make calls to the counter."""
@@ -150,7 +152,7 @@
             assert self.counter is not None
             self.counter.add(call.name, call.amount, call.expire_ms)
 
-    def reply(self, reply: api.CounterReply) -> None:
+    def on_counter_reply(self, reply: api.CounterReply) -> None:
         """Hear how a call ended."""
         if self.exchange is not None:
             ending = reply.ending
--- a/petrelhall/hollow/gateway.py
+++ b/petrelhall/hollow/gateway.py
@@ -10,7 +10,7 @@
 
 from petrelhall.boxes.fleet import Fleet
 from petrelhall.decide import interface as api
-from petrelhall.gateway.agreement import Agreement
+from petrelhall.gateway.agreement import PolicyConsensus
 from petrelhall.gateway.membership import Membership
 from petrelhall.gateway.peers import Peers
 from petrelhall.net.counts import Counts
@@ -66,7 +66,7 @@
         self.loop, self.number, self.counts = loop, number, Counts()
         self.peers = MeteredPeers(loop, number, self.counts)
         self.name = f"hollow-{os.getpid()}-{number}"
-        self.agreement: Agreement | None = None
+        self.agreement: PolicyConsensus | None = None
         self.membership: Membership | None = None
         self.ended = False
 
@@ -93,7 +93,7 @@
                 self.counts,
                 lambda line: None,
             )
-        self.agreement = Agreement(
+        self.agreement = PolicyConsensus(
             self.loop,
             self.peers,
             consensus,
@@ -108,7 +108,7 @@
         )
 
     @property
-    def running(self) -> Agreement:
+    def running(self) -> PolicyConsensus:
         """Give the consensus shell of a gateway that was started."""
         assert self.agreement is not None
         return self.agreement
@@ -123,7 +123,7 @@
 
     def age_ms(self) -> float:
         """Give for how long no request could have been decided on (infinite: never yet)."""
-        return now_ms() - self.running.held_at
+        return now_ms() - self.running.last_held_at
 
     def fall_silent(self) -> None:
         """Say nothing more; what others say is still taken in and counted, and moves nothing here."""
@@ -140,8 +140,8 @@
         self.fall_silent()
         self.loop.unregister(self.peers.sock.fileno())
         self.peers.sock.close()
-        if self.agreement is not None and self.agreement.lock is not None:
-            os.close(self.agreement.lock)
-            self.agreement.lock = None
+        if self.agreement is not None and self.agreement.lock_fd is not None:
+            os.close(self.agreement.lock_fd)
+            self.agreement.lock_fd = None
             with contextlib.suppress(OSError):
                 os.unlink(os.path.join(tempfile.gettempdir(), f"petrelhall-{self.name}-votes.lock"))
--- a/petrelhall/hollow/learners.py
+++ b/petrelhall/hollow/learners.py
@@ -5,7 +5,7 @@
 from petrelhall.configuration.versions import VersionName
 from petrelhall.decide import interface as api
 from petrelhall.distribution.learner import LearnerEvent, PutInForce
-from petrelhall.gateway.learning import Learning
+from petrelhall.gateway.learning import ConfigurationLearner
 from petrelhall.hollow.fleet import CLASSES
 from petrelhall.hollow.recorder import Recorder, Sighting, shared_ms
 from petrelhall.net.counts import Counts
@@ -17,7 +17,7 @@
 IN_FORCE = "is in force here"
 
 
-class HollowLearner(Learning):
+class HollowLearner(ConfigurationLearner):
     """One gateway's control part; of the requests that it is asked to decide on, what the judge needs is kept."""
 
     def __init__(self, loop: Loop, recorder: Recorder, number: int, distributors: tuple[str, ...]) -> None:
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -36,7 +36,7 @@
 from petrelhall.decide.replan import replan
 from petrelhall.decide.settings import read_settings
 from petrelhall.emulate.accord import FILE, PACE, TURNS, Turn, World, explore, settled
-from petrelhall.gateway.agreement import Agreement
+from petrelhall.gateway.agreement import PolicyConsensus
 from petrelhall.gateway.requests import Refused, Request, RequestHandler, Unsure
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop
@@ -244,7 +244,7 @@
         for content, base, status in ((b"one", 0, 200), (b"bad", 0, 409), (b"two", 1, 409)):
             core, now = self.world().cores[2], 1e9
             shell = SimpleNamespace(core=core, handle=partial(core.handle, now))
-            told, row = Agreement.propose(shell, content, base)  # type: ignore[arg-type]
+            told, row = PolicyConsensus.propose(shell, content, base)  # type: ignore[arg-type]
             (shown,) = core.view(now)["changes"]
             self.assertEqual((told, row | {"took_ms": 0}), (status, shown | {"took_ms": 0}))
             self.assertEqual((row["digest"], row["version"]), (digest_of(content).hex(), base + 1))
@@ -310,7 +310,7 @@
         self.assertEqual(self.versions(world), [1, 1, -1, 1, 1])
         self.assertIn("not here", world.cores[2].view(world.clock(2))["why"])
         world.cores[2].checks.check = lambda content: ""  # its file was mended
-        Agreement.look_again(SimpleNamespace(core=world.cores[2]))  # type: ignore[arg-type]
+        PolicyConsensus.on_operator_file_changed(SimpleNamespace(core=world.cores[2]))  # type: ignore[arg-type]
         world.take(CALM)
         self.assertEqual(self.versions(world), [1] * 5)
 
@@ -798,11 +798,11 @@
 
     def part(self, folder: str, number: int = 1) -> Any:
         return SimpleNamespace(
-            place=folder,
+            lock_folder=folder,
             name="n1",
             number=number,
             settings=Accorded(folder=folder),
-            lock=None,
+            lock_fd=None,
             path=os.path.join(folder, f"policy-{number}"),
             log=lambda text: None,
         )
@@ -810,17 +810,17 @@
     def test_a_second_process_votes_only_once_the_first_has_let_go(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             first, second = self.part(folder), self.part(folder)
-            self.assertTrue(Agreement.take_lock(first))
-            self.assertFalse(Agreement.take_lock(second))
-            os.close(first.lock)
-            self.assertTrue(Agreement.take_lock(second))
-            os.close(second.lock)
+            self.assertTrue(PolicyConsensus.acquire_lock(first))
+            self.assertFalse(PolicyConsensus.acquire_lock(second))
+            os.close(first.lock_fd)
+            self.assertTrue(PolicyConsensus.acquire_lock(second))
+            os.close(second.lock_fd)
 
     def test_what_was_kept_is_found_and_what_is_spoilt_or_anothers_is_not(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             memory = Memory(3, digest_of(b"three"), 9, 9, digest_of(b"four"))
-            self.assertTrue(Agreement.keep(self.part(folder), Keep(memory, (b"three", b"four"))))
-            kept = Agreement.load(self.part(folder))
+            self.assertTrue(PolicyConsensus.save(self.part(folder), Keep(memory, (b"three", b"four"))))
+            kept = PolicyConsensus.load(self.part(folder))
             assert kept is not None
             self.assertEqual((kept.memory, kept.documents), (memory, (b"three", b"four")))
             with open(os.path.join(folder, "policy-1"), "rb") as file:
@@ -828,8 +828,8 @@
             for name, content in (("policy-1", data[:-1] + b"x"), ("policy-1", b""), ("policy-2", data)):
                 with open(os.path.join(folder, name), "wb") as file:
                     file.write(content)
-                self.assertIsNone(Agreement.load(self.part(folder, int(name[-1]))))
-            self.assertFalse(Agreement.keep(self.part(os.path.join(folder, "none")), Keep(memory, ())))
+                self.assertIsNone(PolicyConsensus.load(self.part(folder, int(name[-1]))))
+            self.assertFalse(PolicyConsensus.save(self.part(os.path.join(folder, "none")), Keep(memory, ())))
 
 
 class Decided(unittest.TestCase):
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -20,7 +20,7 @@
 from petrelhall.emulate.exchange import explore as explore_counter
 from petrelhall.emulate.quota import explore, fleet
 from petrelhall.events import Dropped, Send
-from petrelhall.gateway.sharing import IDLE_MS, Owned, Sharing
+from petrelhall.gateway.sharing import IDLE_ACCOUNT_TTL_MS, OwnedAccounts, QuotaSharing
 from petrelhall.quota.bound import STATES, bounds, worst
 from petrelhall.quota.exchange import Call, Desk, Exchange
 from petrelhall.quota.ledger import ARRIVE_MS, TURN_MS, Account, Ledger
@@ -182,7 +182,7 @@
         ledger.forget(20000.0, 5000.0)
         self.assertEqual(len(ledger.accounts), 0)
         # A customer that the module still holds has its account here too, or it could neither ask nor lend.
-        self.assertGreater(IDLE_MS, IDLE_CUSTOMER_TTL_MS)
+        self.assertGreater(IDLE_ACCOUNT_TTL_MS, IDLE_CUSTOMER_TTL_MS)
 
 
 class Module(unittest.TestCase):
@@ -205,9 +205,9 @@
         class Owner:
             """Hands out a share that is full of the quota, and as much of the ceiling."""
 
-            def account(self, customer: object, now: float) -> Owned:
+            def account(self, customer: object, now: float) -> OwnedAccounts:
                 ledger = Ledger(0, 1, 1.0, 1, -1e9)
-                owned = Owned(
+                owned = OwnedAccounts(
                     ledger,
                     ledger.account(1, False, TERMS, (), now),
                     ledger.account(1, True, Terms(50.0, ceiling, 4), (), now),
@@ -221,7 +221,7 @@
         return module
 
     def test_what_is_owned_decides_whatever_peers_tell_and_both_accounts_are_drawn_on(self) -> None:
-        seen: list[Owned] = []
+        seen: list[OwnedAccounts] = []
         module = self.gateway(seen)  # type: ignore[arg-type]
         sent = 0
         for number in range(30):
@@ -362,7 +362,7 @@
         heard: list[tuple[Any, ...]] = []
         part = SimpleNamespace(exchange=SimpleNamespace(answered=lambda *values: heard.append(values)))
         for ending in (Ending.OK, Ending.TIMEOUT, Ending.FULL, Ending.CONNECT_FAILED, Ending.ERROR):
-            Sharing.reply(part, api.CounterReply(7, ending, 3.0))  # type: ignore[arg-type]
+            QuotaSharing.on_counter_reply(part, api.CounterReply(7, ending, 3.0))  # type: ignore[arg-type]
         self.assertEqual(
             [(ok, refused) for _, _, ok, refused, _ in heard],
             [(True, False), (False, False), (False, True), (False, True), (False, True)],
