--- a/petrelhall/gateway/agreement.py
+++ b/petrelhall/gateway/agreement.py
@@ -1,6 +1,7 @@
-"""Carries out agreement on sockets and disk: words in and out, turns by the clock, what is served applied, votes kept.
+"""Runs the consensus on the shared policy: connects its core with the peers, the clock and the votes on disk.
 
-Whoever decides on a request asks ``holds`` first, in the same turn: a process that stood still finds its lease gone.
+Code that decides on a request calls ``holds`` first, in the same turn of the loop: a process that was paused then
+notices that its lease has expired.
 """
 
 from __future__ import annotations
@@ -49,20 +50,20 @@
 from petrelhall.operator.settings import Shared
 from petrelhall.operator.shared import decode, encode
 
-TICK_MS = 50.0
+TICK_INTERVAL_MS = 50.0  # between two timer events of the core
 
 
-class Kept(msgspec.Struct, frozen=True, array_like=True):
-    """A voter's memory and the documents that it names, as the folder holds them."""
+class StoredVotes(msgspec.Struct, frozen=True, array_like=True):
+    """A voter's durable state and the documents it refers to, as stored on disk."""
 
-    form: int
-    number: int
+    format_version: int
+    gateway: int
     memory: Memory
     documents: tuple[bytes, ...]
 
 
 class PolicyConsensus:
-    """One gateway's part in agreeing on the policy; not there where the operators' file does not ask for it."""
+    """One gateway's member of the policy consensus; created only if the operators' file turns ``accord`` on."""
 
     change_command = "petrelhall policy propose"
 
@@ -84,7 +85,7 @@
         self.check, self.apply = check, apply
         self.number, self.name = platform.position, name
         now = now_ms()
-        paces = pace(
+        timing = pace(
             platform.gateways,
             settings.voters,
             platform.peer_messages_per_s,
@@ -96,48 +97,49 @@
         )
         self.lock_fd: int | None = None
         self.lock_folder = settings.folder or tempfile.gettempdir()
-        alone = self.acquire_lock()  # else a process that this one replaces votes as long as it serves
-        kept = self.load() if alone else None
-        life = int.from_bytes(os.urandom(4), "big") >> 1 | 1  # never a number of an earlier life, by chance
+        has_lock = self.acquire_lock()  # otherwise the process that this one replaces votes until it exits
+        stored = self.load() if has_lock else None
+        # Random, so that it differs from the incarnations of earlier processes.
+        incarnation = int.from_bytes(os.urandom(4), "big") >> 1 | 1
         self.core = Accord(
             self.number,
-            life,
-            paces,
+            incarnation,
+            timing,
             encode(shared),
-            self.refused,
+            self.document_problem,
             seed,
             now,
-            kept.memory if kept is not None else None,
-            kept.documents if kept is not None else (),
+            stored.memory if stored is not None else None,
+            stored.documents if stored is not None else (),
         )
-        self.core.may_vote = alone
-        self.epoch = 0  # of what is served: decisions of another epoch are not carried out
-        self.waiting: set[Callable[[], None]] = set()
-        self.last_held_at = -math.inf  # when requests could last be decided on
-        self.unstamped = settings.begin == "file"  # serve by the file until anything is known
-        self.ended = self.was_ready = False  # begun: requests could be decided on once
-        peers.datagram_handlers[KIND] = self.heard
-        loop.after(TICK_MS, self.tick)
+        self.core.may_vote = has_lock
+        self.epoch = 0  # of the policy served; decisions made in another epoch are not carried out
+        self.wake_callbacks: set[Callable[[], None]] = set()
+        self.last_held_at = -math.inf  # last time at which requests could be decided on
+        self.serves_file_at_start = settings.begin == "file"  # serve the file's policy until a version is known
+        self.ended = self.was_ready = False  # was_ready: requests could be decided on at least once
+        peers.datagram_handlers[KIND] = self.on_message
+        loop.after(TICK_INTERVAL_MS, self.tick)
 
-    # What decides on requests asks
+    # Called when requests are decided on
 
     def holds(self, epoch: int | None = None) -> bool:
-        """Tell whether a request may be decided on now; of a decision that was made, whether it still stands."""
+        """Return whether a request may be decided on now or, for a past decision's epoch, whether it still stands."""
         if epoch is not None and epoch != self.epoch:
             return False
         now = now_ms()
-        if self.core.allowed(now) or (self.unstamped and not self.core.certain):
+        if self.core.allowed(now) or (self.serves_file_at_start and not self.core.certain):
             self.last_held_at, self.was_ready = now, True
             return True
         return False
 
-    def stamp(self) -> bytes | None:
-        """Word under which version a request is admitted now, and when; None where boxes are not to be told."""
+    def version_header(self) -> bytes | None:
+        """Return the header value that tells servers the version and time of an admission; None if it is not sent."""
         serving = self.core.serving
         if not self.settings.stamp or serving is None:
             return None
         version, digest, before = serving
-        # When it was looked at, by the machine's monotonic clock: what all processes of a machine share.
+        # The time of the check is on the machine's monotonic clock, which all processes of a machine share.
         return b"%d %s %s %.3f" % (
             version,
             digest.hex()[:8].encode(),
@@ -146,39 +148,41 @@
         )
 
     def admitted(self, request: Request) -> None:
-        """Tell the boxes under which version a request is let in, where they are to be told."""
-        stamp = self.stamp()
-        if stamp is not None and isinstance(request.message, ForwardedRequest):
-            request.message.headers.append((b"X-Policy", stamp))
+        """Add the header that tells servers under which version a request is admitted, if the settings ask for it."""
+        header = self.version_header()
+        if header is not None and isinstance(request.message, ForwardedRequest):
+            request.message.headers.append((b"X-Policy", header))
 
     def worth_waiting(self) -> float:
-        """Give for how many ms more a request should wait: a change is just taking hold, or 0."""
+        """Return for how many ms a request should wait for a policy change that is about to take effect, or 0."""
         return max(0.0, self.last_held_at + self.settings.wait_ms - now_ms())
 
     def wait(self, wake: Callable[[], None], off: bool = False) -> None:
-        """Have a task woken once requests may be decided on, or no more."""
-        (self.waiting.discard if off else self.waiting.add)(wake)
+        """Register a task to be woken once requests may be decided on, or remove it (``off``)."""
+        (self.wake_callbacks.discard if off else self.wake_callbacks.add)(wake)
 
-    # The core
+    # Events and actions of the core
 
     def tick(self) -> None:
-        """Take a turn by the clock."""
+        """Pass a timer event to the core; retry the lock until this process may vote."""
         if not self.ended:
-            self.loop.after(TICK_MS, self.tick)
+            self.loop.after(TICK_INTERVAL_MS, self.tick)
             if not self.core.may_vote and self.acquire_lock():
-                kept = self.load()
+                stored = self.load()
                 self.core.take_over(
-                    now_ms(), kept.memory if kept is not None else None, kept.documents if kept is not None else ()
+                    now_ms(),
+                    stored.memory if stored is not None else None,
+                    stored.documents if stored is not None else (),
                 )
             self.handle(Tick())
 
-    def heard(self, number: int, content: bytes) -> None:
-        """Take in a word."""
+    def on_message(self, number: int, content: bytes) -> None:
+        """Pass a message from another gateway to the core."""
         if not self.ended:
             self.handle(Heard(number, content))
 
     def handle(self, event: Event) -> None:
-        """Give the core an event and do as it says, in order: what must be kept is on disk before it is spoken of."""
+        """Pass an event to the core and carry out its actions in order: votes are on disk before they are sent."""
         before = self.core.serving
         for action in self.core.handle(now_ms(), event):
             if isinstance(action, Send):
@@ -186,78 +190,82 @@
                 self.counts.add("accord", "words")
             elif isinstance(action, Keep):
                 if not self.save(action):
-                    self.core.handle(now_ms(), Quiet())  # it may not say what it could forget
+                    # A vote that is not on disk must not be sent: a restart would forget it.
+                    self.core.handle(now_ms(), Quiet())
                     break
             elif isinstance(action, Serve):
-                self.serve(action)
+                self.apply_version(action)
             elif isinstance(action, Told):
                 self.log(f"policy: {action.what}")
             elif isinstance(action, Dropped):
                 self.counts.add("accord", f"dropped_{action.why}")
         if self.core.serving is not before:
             self.epoch += 1
-        if (self.waiting or not self.was_ready) and self.holds():
-            for wake in list(self.waiting):
+        if (self.wake_callbacks or not self.was_ready) and self.holds():
+            for wake in list(self.wake_callbacks):
                 wake()
 
-    def serve(self, action: Serve) -> None:
-        """Take a version, or two of which either may be in force, into service."""
+    def apply_version(self, action: Serve) -> None:
+        """Apply a version, or two versions of which either may be in force."""
         self.counts.add("accord", "served")
         self.apply(decode(action.document), decode(action.before) if action.before is not None else None)
         self.log(
-            f"policy: version {action.version} is served here"
-            + (", by the stricter of it and the one before" if action.before is not None else "")
+            f"policy: serving version {action.version}"
+            + (", by the stricter of it and the version before in each field" if action.before is not None else "")
         )
 
-    def refused(self, content: bytes) -> str:
-        """Say why a document cannot be served here."""
+    def document_problem(self, content: bytes) -> str:
+        """Return why a document cannot be served by this gateway; empty if it can."""
         try:
             return self.check(decode(content))
         except OperatorError as error:
             return str(error)
 
     def on_operator_file_changed(self) -> None:
-        """Check documents anew, since the own file has changed: what could not be served may be able to now."""
+        """Check documents again: one that could not be served may be servable with the changed operators' file."""
         self.core.checks.forget()
 
     def hand_over(self) -> None:
-        """A newer process of this gateway speaks and votes from now on; the lease that is held runs on."""
+        """Stop sending and voting: a newer process of this gateway takes over. The current lease stays valid."""
         self.handle(Quiet())
         self.ended = True
         if self.lock_fd is not None:
             os.close(self.lock_fd)
             self.lock_fd = None
 
-    # The folder
+    # Votes on disk
 
     @property
     def path(self) -> str:
-        """Give where votes are kept."""
+        """Return the path of the file with the stored votes."""
         return os.path.join(self.settings.folder, f"policy-{self.number}")
 
-    def load(self) -> Kept | None:
-        """Read what an earlier process kept; that it votes no more is known from the lock."""
+    def load(self) -> StoredVotes | None:
+        """Read the votes stored by an earlier process; the lock ensures that it no longer votes."""
         if not self.settings.folder:
             return None
         try:
             with open(self.path, "rb") as file:
                 data = file.read()
             if len(data) < 4 or zlib.crc32(data[4:]).to_bytes(4, "big") != data[:4]:
-                raise ValueError("its checksum does not hold")
-            kept: Kept = msgspec.msgpack.decode(data[4:], type=Kept)
-            if (kept.form, kept.number) != (1, self.number):
-                raise ValueError(f"it is of form {kept.form} and gateway {kept.number}")
-            if digest_of(b"".join(kept.documents[:1])) != kept.memory.digest:
-                raise ValueError("the document in force is not in it")
-            return kept
+                raise ValueError("checksum mismatch")
+            stored: StoredVotes = msgspec.msgpack.decode(data[4:], type=StoredVotes)
+            if (stored.format_version, stored.gateway) != (1, self.number):
+                raise ValueError(f"unexpected format {stored.format_version} or gateway number {stored.gateway}")
+            if digest_of(b"".join(stored.documents[:1])) != stored.memory.digest:
+                raise ValueError("the document in force is missing")
+            return stored
         except FileNotFoundError:
             return None
-        except (OSError, ValueError) as error:  # as one that starts empty: it learns before it votes
-            self.log(f"policy: {self.path} ignored: {error}")
+        except (OSError, ValueError) as error:  # continue without stored votes: the core learns before it votes
+            self.log(f"policy: ignoring stored votes in {self.path}: {error}")
             return None
 
     def acquire_lock(self) -> bool:
-        """Have this process alone vote for this member; where no file can be made no second one is ever started."""
+        """Lock out other voting processes of this member; return whether this process may vote.
+
+        Where the lock file cannot be created and no folder is set, it may: no second process is started there.
+        """
         path = os.path.join(self.lock_folder, f"petrelhall-{self.name}-votes.lock")
         try:
             lock = os.open(path, os.O_CREAT | os.O_RDWR, 0o600)
@@ -272,21 +280,21 @@
         return True
 
     def save(self, action: Keep) -> bool:
-        """Write a memory down; False where it had to be and could not."""
+        """Store a voter's state; return False if it must be stored and could not be."""
         if not self.settings.folder:
             return True
-        data = msgspec.msgpack.encode(Kept(1, self.number, action.memory, action.documents))
+        data = msgspec.msgpack.encode(StoredVotes(1, self.number, action.memory, action.documents))
         try:
             write_safely(self.path, zlib.crc32(data).to_bytes(4, "big") + data)
         except OSError as error:
-            self.log(f"policy: cannot write {self.path}, no more is said: {os.strerror(error.errno or 0)}")
+            self.log(f"policy: cannot write {self.path}; no longer voting or sending: {os.strerror(error.errno or 0)}")
             return False
         return True
 
-    # Operators
+    # Management calls
 
     def view(self) -> dict[str, Any]:
-        """Give all of it, for ``GET /control/policy``."""
+        """Return the state for ``GET /control/policy``."""
         now = now_ms()
         view = self.core.view(now)
         document = self.core.documents.held.get(self.core.known.digest) if self.core.certain else None
@@ -297,7 +305,7 @@
         }
 
     def call(self, call: Policy, body: bytes) -> tuple[int, dict[str, Any]]:
-        """Carry out an operator's call, and tell its status and what is known at once."""
+        """Carry out an operator's call; return the HTTP status and the state right after it."""
         if call.what == "propose":
             try:
                 content = encode(decode(body))
@@ -319,7 +327,7 @@
         return 200, self.core.view(now_ms())
 
     def propose(self, content: bytes, base: int) -> tuple[int, dict[str, Any]]:
-        """Propose a document in place of a version."""
+        """Propose a document to replace version ``base``; return the HTTP status and the change's row of the view."""
         self.handle(Propose(content, base))
         digest = digest_of(content)
         change = [change for change in self.core.changes if (change.digest, change.slot) == (digest, base + 1)][-1]
--- a/petrelhall/gateway/learning.py
+++ b/petrelhall/gateway/learning.py
@@ -1,6 +1,7 @@
-"""The shared part of the policy learned from distributors: a learner's core on sockets, and what is in force applied.
+"""Receives the shared policy from distributors: connects the learner's core with sockets and applies each version.
 
-Whoever decides on a request asks ``holds`` first, in the same turn: a process that stood still finds its lease gone.
+Code that decides on a request calls ``holds`` first, in the same turn of the loop: a process that was paused then
+notices that its lease has expired.
 """
 
 from __future__ import annotations
@@ -37,27 +38,27 @@
 from petrelhall.operator.shared import decode
 from petrelhall.replica.upstream import Upstream
 
-SHARED_ENTRY = "shared"  # the configuration's entry that holds the shared part; other entries are not this gateway's
-EARLIEST_MS = 1.0  # between two ticks
+SHARED_ENTRY = "shared"  # the configuration entry with the shared policy; gateways ignore all others
+MIN_TICK_DELAY_MS = 1.0  # shortest delay until the next tick
 
 
 class SharedChecks:
-    """Checks of the shared part, by this gateway's own settings."""
+    """Checks whether this gateway's own settings allow it to serve a configuration's shared policy."""
 
     def __init__(self, check: Callable[[Shared], str]) -> None:
         self.check = check
 
     def delta(self, document: Document, delta: Delta) -> str:
-        """Say why a change cannot be served here."""
-        return next((self.entry(entry.value) for entry in delta.put if entry.key == SHARED_ENTRY), "")
+        """Return why a change cannot be served by this gateway; empty if it can."""
+        return next((self.entry_problem(entry.value) for entry in delta.put if entry.key == SHARED_ENTRY), "")
 
     def whole(self, document: Document) -> str:
-        """Say why a whole configuration cannot be served here."""
+        """Return why a complete configuration cannot be served by this gateway; empty if it can."""
         content = document.entries.get(SHARED_ENTRY)
-        return self.entry(content) if content is not None else ""
+        return self.entry_problem(content) if content is not None else ""
 
-    def entry(self, content: bytes) -> str:
-        """Say why a shared part cannot be served here."""
+    def entry_problem(self, content: bytes) -> str:
+        """Return why an encoded shared policy cannot be served by this gateway; empty if it can."""
         try:
             return self.check(decode(content))
         except OperatorError as error:
@@ -65,7 +66,7 @@
 
 
 class ConfigurationLearner:
-    """One gateway's part in the distribution; not there where the operators' file does not ask for it."""
+    """One gateway's learner; created only if the operators' file turns ``distribution`` on."""
 
     change_command = "petrelhall config put"
 
@@ -83,66 +84,72 @@
         self.loop, self.settings, self.counts, self.log = loop, settings, counts, log
         self.shared, self.apply = shared, apply
         addresses = list(map(parse_address, settings.distributors))
-        first = platform.position % len(addresses)  # gateways spread over distributors where all have one list
+        start = platform.position % len(addresses)  # spreads gateways that share one list over the distributors
         self.core = Learner(
             platform.position,
-            int.from_bytes(os.urandom(4), "big") >> 1 | 1,  # never that of an earlier process, by chance
+            # The incarnation: random, so that it differs from those of earlier processes.
+            int.from_bytes(os.urandom(4), "big") >> 1 | 1,
             replace(Timing(), lease_ms=settings.lease_ms),
             len(addresses),
             SharedChecks(check),
-            int.from_bytes(os.urandom(4), "big"),  # gateways that share a seed must not share their moments
+            # The seed: not the configured one, since gateways that share it would act at the same times.
+            int.from_bytes(os.urandom(4), "big"),
             now_ms(),
         )
-        self.upstream = Upstream(loop, addresses[first:] + addresses[:first], self.handle, log)
-        self.epoch = 0  # of what is served: decisions of another epoch are not carried out
-        self.waiting: set[Callable[[], None]] = set()
-        self.last_held_at = -math.inf  # when requests could last be decided on
-        self.ended = self.was_ready = False  # begun: requests could be decided on once
+        self.upstream = Upstream(loop, addresses[start:] + addresses[:start], self.handle, log)
+        self.epoch = 0  # of the policy served; decisions made in another epoch are not carried out
+        self.wake_callbacks: set[Callable[[], None]] = set()
+        self.last_held_at = -math.inf  # last time at which requests could be decided on
+        self.ended = self.was_ready = False  # was_ready: requests could be decided on at least once
         self.timer: Timer | None = None
-        self.arm()
+        self.schedule_tick()
 
-    # What decides on requests asks
+    # Called when requests are decided on
 
     def holds(self, epoch: int | None = None) -> bool:
-        """Tell whether a request may be decided on now; of a decision that was made, whether it still stands."""
+        """Return whether a request may be decided on now or, for a past decision's epoch, whether it still stands."""
         if epoch is not None and epoch != self.epoch:
             return False
         now = now_ms()
-        if self.core.admits(now) is not None or self.serves_by_file():
+        if self.core.admits(now) is not None or self.serves_own_file():
             self.last_held_at, self.was_ready = now, True
             return True
         return False
 
-    def serves_by_file(self) -> bool:
-        """Tell whether this gateway serves by its own file, since nothing was heard yet."""
+    def serves_own_file(self) -> bool:
+        """Return whether this gateway serves its own file's policy because it has received no other yet."""
         return self.settings.begin == "file" and not self.core.informed
 
     def admitted(self, request: Request) -> None:
-        """Tell the boxes under which version a request is let in, where they are to be told."""
+        """Add the header that tells servers under which version a request is admitted, if the settings ask for it."""
         if self.settings.stamp and isinstance(request.message, ForwardedRequest):
-            name = self.core.document.name
-            # By the machine's monotonic clock: what all processes of a machine share.
-            stamp = b"%d %s one %.3f" % (name.number, name.digest.hex()[:8].encode(), self.last_held_at - OFFSET_MS)
-            request.message.headers.append((b"X-Policy", stamp))
+            version = self.core.document.name
+            # The time is on the machine's monotonic clock, which all processes of a machine share.
+            header = b"%d %s one %.3f" % (
+                version.number,
+                version.digest.hex()[:8].encode(),
+                self.last_held_at - OFFSET_MS,
+            )
+            request.message.headers.append((b"X-Policy", header))
 
     def worth_waiting(self) -> float:
-        """Give for how many ms more a request should wait: a change is just taking hold, or 0."""
+        """Return for how many ms a request should wait for a policy change that is about to take effect, or 0."""
         return max(0.0, self.last_held_at + self.settings.wait_ms - now_ms())
 
     def wait(self, wake: Callable[[], None], off: bool = False) -> None:
-        """Have a task woken once requests may be decided on, or no more."""
-        (self.waiting.discard if off else self.waiting.add)(wake)
+        """Register a task to be woken once requests may be decided on, or remove it (``off``)."""
+        (self.wake_callbacks.discard if off else self.wake_callbacks.add)(wake)
 
-    # The core
+    # Events and actions of the core
 
-    def arm(self) -> None:
-        """Have the next tick come when it has something to do."""
+    def schedule_tick(self) -> None:
+        """Schedule the next tick for when the core has something to do."""
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.loop.at(max(self.core.due(), now_ms() + EARLIEST_MS), lambda: self.handle(Tick()))
+        self.timer = self.loop.at(max(self.core.due(), now_ms() + MIN_TICK_DELAY_MS), lambda: self.handle(Tick()))
 
     def handle(self, event: LearnerEvent) -> None:
-        """Give the core an event and do as it says, in order."""
+        """Pass an event to the core and carry out its actions in order."""
         if self.ended:
             return
         for action in self.core.handle(now_ms(), event):
@@ -154,13 +161,13 @@
                 self.log(f"configuration: {action.what}")
             elif isinstance(action, Dropped):
                 self.counts.add("distribution", f"dropped_{action.why}")
-        self.arm()
-        if (self.waiting or not self.was_ready) and self.holds():
-            for wake in list(self.waiting):
+        self.schedule_tick()
+        if (self.wake_callbacks or not self.was_ready) and self.holds():
+            for wake in list(self.wake_callbacks):
                 wake()
 
     def put_in_force(self, action: PutInForce) -> None:
-        """Take a version into service; what is leased waits for its lease."""
+        """Apply a version; requests are decided on by it only while a lease on it is held."""
         self.epoch += 1
         self.counts.add("distribution", "in_force")
         content = self.core.document.entries.get(SHARED_ENTRY)
@@ -168,24 +175,24 @@
         self.log(f"configuration: version {action.version.number} is in force here")
 
     def on_operator_file_changed(self) -> None:
-        """Hear that the own file has changed: what could not be served may be able to now, with the next change."""
+        """Do nothing: a configuration that could not be served is checked again with its next change."""
 
     def hand_over(self) -> None:
-        """A newer process of this gateway learns from now on; the lease that is held here runs out."""
+        """Stop learning: a newer process of this gateway takes over. The current lease is left to expire."""
         self.ended = True
         if self.timer is not None:
             self.timer.cancel()
         self.upstream.end()
 
     def view(self) -> dict[str, Any]:
-        """Give all of it, for ``GET /control/configuration``."""
+        """Return the state for ``GET /control/configuration``."""
         now, core = now_ms(), self.core
-        name = core.document.name
+        version = core.document.name
         return {
             "gateway": core.number,
             "incarnation": core.incarnation,
-            "version": name.number,
-            "digest": name.digest.hex(),
+            "version": version.number,
+            "digest": version.digest.hex(),
             "age_ms": round(now - core.changed_at),
             "active": core.active.number,
             "staged": core.staged.target.number if core.staged is not None else 0,
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -1,4 +1,4 @@
-"""A gateway that learns the shared part from distributors: the program, real control processes, real requests."""
+"""A gateway that receives the shared policy from distributors: real gateway and control processes, real requests."""
 
 from __future__ import annotations
 
@@ -23,64 +23,64 @@
 from tests.test_replica import Fleet
 
 
-class Serving(Story):
-    """One gateway before one server, which notes what it is told of versions."""
+class LearningGateway(Story):
+    """One gateway with one server that records the ``X-Policy`` headers it receives."""
 
     def runTest(self) -> None:  # noqa: N802
-        """Stand for a test, so that the scripted peers can be used outside of unittest."""
+        """Do nothing: a TestCase needs a test method before its scripted peers can be used from pytest."""
 
-    def serve(self, listener: socket.socket) -> None:
-        """Answer all that comes."""
-        self.stamps: list[str] = []
+    def accept_connections(self, listener: socket.socket) -> None:
+        """Answer every request on every connection."""
+        self.policy_headers: list[str] = []
         while True:
             try:
                 sock, _ = listener.accept()
             except OSError:
                 return
-            threading.Thread(target=self.answer, args=(sock,), daemon=True).start()
+            threading.Thread(target=self.answer_requests, args=(sock,), daemon=True).start()
 
-    def answer(self, sock: socket.socket) -> None:
-        """Answer on one connection until its end."""
+    def answer_requests(self, sock: socket.socket) -> None:
+        """Answer the requests of one connection until it is closed."""
         sock.settimeout(PATIENCE_S)
         try:
             while message := read_message(sock):
-                found = re.search(rb"x-policy: (.*)\r\n", message, re.IGNORECASE)
-                self.stamps.append(found[1].decode() if found else "")
+                match = re.search(rb"x-policy: (.*)\r\n", message, re.IGNORECASE)
+                self.policy_headers.append(match[1].decode() if match else "")
                 sock.sendall(reply(b"ok"))
         except OSError:
             pass
         finally:
             sock.close()
 
-    def begin(self, folder: Path, management: str, **distribution: Any) -> None:
+    def start_gateway(self, folder: Path, management: str, **distribution: Any) -> None:
         """Start the gateway."""
-        self.operator = folder / "operator.json"
-        self.operator.write_text(json.dumps({"distribution": {"on": True, "stamp": True, **distribution}}))
+        self.operator_file = folder / "operator.json"
+        self.operator_file.write_text(json.dumps({"distribution": {"on": True, "stamp": True, **distribution}}))
         listener = self.listener()
         listener.settimeout(None)
-        threading.Thread(target=self.serve, args=(listener,), daemon=True).start()
-        self.start(listener, arguments=("--operator", str(self.operator)), mgmt=management)
+        threading.Thread(target=self.accept_connections, args=(listener,), daemon=True).start()
+        self.start(listener, arguments=("--operator", str(self.operator_file)), mgmt=management)
         self.management = management
 
     def status(self, number: int = 1) -> int:
-        """Make one request, and give the status of its answer."""
+        """Send one request and return the status of its response."""
         with self.client(ask(number)) as sock:
             sock.settimeout(PATIENCE_S)
             return int(read_message(sock).split(b" ")[1])
 
     def view(self) -> dict[str, Any]:
-        """Ask the gateway what it has learned."""
-        line = http.client.HTTPConnection(self.management, timeout=PATIENCE_S)
+        """Return the gateway's view of the configuration from its management address."""
+        connection = http.client.HTTPConnection(self.management, timeout=PATIENCE_S)
         try:
-            line.request("GET", "/control/configuration")
-            found: dict[str, Any] = json.loads(line.getresponse().read())
-            return found
+            connection.request("GET", "/control/configuration")
+            view: dict[str, Any] = json.loads(connection.getresponse().read())
+            return view
         finally:
-            line.close()
+            connection.close()
 
 
-def until(condition: Any) -> None:
-    """Wait until something is so, for a bounded time."""
+def wait_until(condition: Any) -> None:
+    """Wait until a condition holds, for at most 20 s."""
     end = time.monotonic() + 20.0
     while not condition():
         assert time.monotonic() < end
@@ -88,84 +88,84 @@
 
 
 @pytest.fixture
-def serving() -> Iterator[Serving]:
-    """Give a gateway that is not started yet."""
-    found = Serving()
-    found.setUp()
+def gateway() -> Iterator[LearningGateway]:
+    """Yield a gateway that is not started yet."""
+    instance = LearningGateway()
+    instance.setUp()
     try:
-        yield found
+        yield instance
     finally:
-        found.doCleanups()
+        instance.doCleanups()
 
 
-def free_port() -> str:
-    """Give an address that nobody uses."""
+def free_address() -> str:
+    """Return an address that is not in use."""
     with socket.create_server(("127.0.0.1", 0)) as sock:
         host, port = sock.getsockname()
     return f"{host}:{port}"
 
 
-def test_a_gateway_serves_by_what_it_learned_and_refuses_without_a_lease(tmp_path: Path, serving: Serving) -> None:
+def test_gateway_serves_the_received_policy_and_refuses_without_a_lease(
+    tmp_path: Path, gateway: LearningGateway
+) -> None:
     fleet = Fleet(tmp_path, 3, 2, 0)
     try:
-        serving.begin(tmp_path, free_port(), distributors=fleet.distributors)
-        until(lambda: serving.status() == 200)
-        assert serving.stamps[-1].startswith("0 ")
+        gateway.start_gateway(tmp_path, free_address(), distributors=fleet.distributors)
+        wait_until(lambda: gateway.status() == 200)
+        assert gateway.policy_headers[-1].startswith("0 ")
         limits = {"plans": {"plan": {"rate": 400.0, "burst": 900.0}}}
         assert fleet.change("a", {"shared": limits, "other": "entry"}) == 1
-        until(lambda: serving.view()["lease_ms"] > 0 and serving.view()["version"] == 1)
-        assert serving.status(2) == 200 and serving.stamps[-1].startswith("1 ")
-
-        bad = fleet.put("b", {"shared": {"plans": {"none": {"rate": 1.0}}}})
-        fleet.until(lambda: bad.poll() is not None)
-        assert bad.stdout is not None and bad.returncode == 1
-        assert "gateway 0: plans.none: no such plan; known: plan" in json.loads(bad.stdout.read())["reason"]
-        bad.stdout.close()
-        assert serving.view()["version"] == 1 and serving.status(3) == 200
-
-        fleet.kill(serving_distributor(fleet, serving))
-        assert fleet.change("c", {"shared": {}}) == 3  # number 2 was refused; the other distributor takes over
-        until(lambda: serving.view()["version"] == 3 and serving.view()["lease_ms"] > 0)
+        wait_until(lambda: gateway.view()["lease_ms"] > 0 and gateway.view()["version"] == 1)
+        assert gateway.status(2) == 200 and gateway.policy_headers[-1].startswith("1 ")
+
+        rejected = fleet.put("b", {"shared": {"plans": {"none": {"rate": 1.0}}}})
+        fleet.until(lambda: rejected.poll() is not None)
+        assert rejected.stdout is not None and rejected.returncode == 1
+        assert "gateway 0: plans.none: no such plan; known: plan" in json.loads(rejected.stdout.read())["reason"]
+        rejected.stdout.close()
+        assert gateway.view()["version"] == 1 and gateway.status(3) == 200
+
+        fleet.kill(watched_distributor(fleet, gateway))
+        assert fleet.change("c", {"shared": {}}) == 3  # version 2 was refused; the other distributor takes over
+        wait_until(lambda: gateway.view()["version"] == 3 and gateway.view()["lease_ms"] > 0)
         for name in [name for name in fleet.processes if name.startswith("distributor")]:
             fleet.kill(name)
-        until(lambda: serving.view()["lease_ms"] == 0)
-        assert serving.status(4) == 503
-        view = serving.view()
+        wait_until(lambda: gateway.view()["lease_ms"] == 0)
+        assert gateway.status(4) == 503
+        view = gateway.view()
         assert (view["state"], view["version"], view["connected"]) == ("unsure", 3, False)
         fleet.start("distributor-0")
-        until(lambda: serving.status(5) == 200)
-        serving.stop()
+        wait_until(lambda: gateway.status(5) == 200)
+        gateway.stop()
     finally:
         fleet.end()
 
 
-def serving_distributor(fleet: Fleet, serving: Serving) -> str:
-    """Give the name of the distributor's process that a gateway watches."""
-    return f"distributor-{fleet.distributors.index(serving.view()['distributor'])}"
+def watched_distributor(fleet: Fleet, gateway: LearningGateway) -> str:
+    """Return the process name of the distributor from which a gateway receives the configuration."""
+    return f"distributor-{fleet.distributors.index(gateway.view()['distributor'])}"
 
 
-def test_who_began_by_its_file_goes_by_its_lease_once_it_has_heard_of_the_others(
-    tmp_path: Path, serving: Serving
-) -> None:
+def test_gateway_that_started_by_its_file_needs_a_lease_once_informed(tmp_path: Path, gateway: LearningGateway) -> None:
     fleet = Fleet(tmp_path, 3, 1, 0)
     try:
-        serving.begin(tmp_path, free_port(), distributors=fleet.distributors, begin="file")
-        until(lambda: serving.status() == 200 and serving.view()["lease_ms"] > 0)
+        gateway.start_gateway(tmp_path, free_address(), distributors=fleet.distributors, begin="file")
+        wait_until(lambda: gateway.status() == 200 and gateway.view()["lease_ms"] > 0)
         fleet.kill("distributor-0")
-        until(lambda: serving.view()["lease_ms"] == 0)
-        assert serving.status() == 503
+        wait_until(lambda: gateway.view()["lease_ms"] == 0)
+        assert gateway.status() == 503
     finally:
         fleet.end()
 
 
-def test_until_anything_is_heard_a_gateway_refuses_or_serves_by_its_file(tmp_path: Path, serving: Serving) -> None:
-    nobody = [free_port()]
-    serving.begin(tmp_path, free_port(), distributors=nobody, begin="file")
-    assert serving.status() == 200
-    serving.stop()
-    serving.begin(tmp_path, free_port(), distributors=nobody)
-    assert serving.status() == 503
-    assert serving.view()["state"] == "unsure"
+def test_uninformed_gateway_refuses_or_serves_by_its_file(tmp_path: Path, gateway: LearningGateway) -> None:
+    unused_addresses = [free_address()]
+    gateway.start_gateway(tmp_path, free_address(), distributors=unused_addresses, begin="file")
+    assert gateway.status() == 200
+    gateway.stop()
+    gateway.start_gateway(tmp_path, free_address(), distributors=unused_addresses)
+    assert gateway.status() == 503
+    assert gateway.view()["state"] == "unsure"
 
 
 @pytest.mark.parametrize(
@@ -179,20 +179,20 @@
         ({"leas_ms": 1}, "distribution.leas_ms: unknown; did you mean 'lease_ms'?"),
     ],
 )
-def test_a_section_that_cannot_be_used_is_told_in_one_line(section: dict[str, Any], reason: str) -> None:
+def test_invalid_section_is_reported_in_one_line(section: dict[str, Any], reason: str) -> None:
     with pytest.raises(OperatorError) as found:
         parse(json.dumps({"distribution": section}).encode())
     assert reason in str(found.value) and "\n" not in str(found.value)
 
 
-def test_distribution_and_accord_are_not_both_on() -> None:
-    both = {"distribution": {"on": True, "distributors": ["a:1"]}, "accord": {"on": True}}
+def test_distribution_and_accord_cannot_both_be_on() -> None:
+    section = {"distribution": {"on": True, "distributors": ["a:1"]}, "accord": {"on": True}}
     with pytest.raises(OperatorError, match="distribution.on: true beside accord.on"):
-        parse(json.dumps(both).encode())
+        parse(json.dumps(section).encode())
     assert parse(b"{}").distribution.on is False
 
 
-def test_only_the_shared_entry_is_checked_by_the_gateways_settings() -> None:
+def test_only_the_shared_entry_is_checked_against_the_gateways_settings() -> None:
     checks = SharedChecks(lambda shared: "refused" if shared != Shared() else "")
     document = Document()
     for put, reason in (
