--- a/petrelhall/gateway/agreement.py
+++ b/petrelhall/gateway/agreement.py
@@ -97,8 +97,8 @@
         )
         self.lock_fd: int | None = None
         self.lock_folder = settings.folder or tempfile.gettempdir()
-        has_lock = self.acquire_lock()  # otherwise the process that this one replaces votes until it exits
-        stored = self.load() if has_lock else None
+        may_vote = self.acquire_lock()  # otherwise the process that this one replaces votes until it exits
+        stored = self.load() if may_vote else None
         # Random, so that it differs from the incarnations of earlier processes.
         incarnation = int.from_bytes(os.urandom(4), "big") >> 1 | 1
         self.core = Accord(
@@ -112,7 +112,7 @@
             stored.memory if stored is not None else None,
             stored.documents if stored is not None else (),
         )
-        self.core.may_vote = has_lock
+        self.core.may_vote = may_vote
         self.epoch = 0  # of the policy served; decisions made in another epoch are not carried out
         self.wake_callbacks: set[Callable[[], None]] = set()
         self.last_held_at = -math.inf  # last time at which requests could be decided on
