--- a/benchmarks/scale/subjects/links.py
+++ b/benchmarks/scale/subjects/links.py
@@ -83,7 +83,7 @@
             traffic.waited += 1
             return
         if link.state is ConnectionState.OPENING:
-            traffic.on_opened += 1
+            traffic.opened += 1
             self.plan.on_opened(self.now, link)
         self.order += 1
         heapq.heappush(self.busy, (self.now + ANSWER_MS, self.order, link))
@@ -155,7 +155,7 @@
             request.add(servers, 1e6 * traffic.request_cpu_s / traffic.requests)
             tick.add(servers, traffic.longest_tick_ms)
             tick_cpu.add(servers, 1000.0 * traffic.tick_cpu_s / effort.seconds)
-            opened.add(servers, traffic.on_opened / traffic.requests)
+            opened.add(servers, traffic.opened / traffic.requests)
         memory.add(servers, held_bytes(plan_before, servers, connections) / MEBIBYTE)
     for samples in (request, tick, tick_cpu, opened, memory):
         yield samples.slope()
@@ -177,5 +177,5 @@
             requests = Requests(plan_before(servers, connections_for(descriptors)), seed)
             requests.run(min(WARM_UP_SECONDS, 1.5 * effort.seconds))
             traffic = requests.run(effort.seconds)
-            opened.add(descriptors, traffic.on_opened / traffic.requests)
+            opened.add(descriptors, traffic.opened / traffic.requests)
     return opened.slope()
--- a/petrelhall/gateway/shifting.py
+++ b/petrelhall/gateway/shifting.py
@@ -27,7 +27,8 @@
 from petrelhall.shift.plan import PoolError, Pools, side
 
 TICK_MS = 250.0
-# SHIFT_KIND, the move's digest, state, step, and the log wealth (evidence) of the tests for slower answers and for errors.
+# SHIFT_KIND, the move's digest, state, step, and the log wealth (evidence) of the tests for slower answers and for
+# errors.
 PEER_MESSAGE = struct.Struct("<cIBBff")
 ANNOUNCE_INTERVAL_MS = 1000.0
 JUDGED_ENDINGS = {Ending.OK, Ending.ERROR, Ending.RESET, Ending.TIMEOUT, Ending.FULL, Ending.CONNECT_FAILED}
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -954,7 +954,7 @@
         self.assertEqual(world.told["after"], {})  # not what the file says by now
         self.assertIn("no such plan", world.told["refused"][2])
         self.assertIn("made for version 0", world.told["outdated"][2])
-        self.assertTrue(any("changed by `petrelhall policy propose` only" in line for line in world.lines))
+        self.assertTrue(any("can only be changed by `petrelhall policy propose`" in line for line in world.lines))
         self.assertEqual((report["lost"], report["exit_codes"]), (0, [0, 0, 0]))
 
     def test_calls_in_bad_form_and_gateways_where_it_is_off_are_told(self) -> None:
