--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -1,4 +1,4 @@
-"""Agreement on the policy: hard cases, each step of a change struck, every short sequence, real processes."""
+"""Policy consensus: protocol rules, faults at each step of a change, bounded exhaustive search, real processes."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
 from petrelhall.net.counts import Counts
 from petrelhall.net.loop import Loop
 from petrelhall.operator.file import OperatorError
-from petrelhall.operator.settings import Accord as Accorded
+from petrelhall.operator.settings import Accord as AccordSettings
 from petrelhall.operator.settings import File, Move, Pool, Shared, Shift
 from petrelhall.operator.shared import deadlines_of, plans_of, refused, shift_of, strictest
-from petrelhall.operator.shared import decode as shared_of
+from petrelhall.operator.shared import decode as decode_shared
 from petrelhall.operator.shared import encode as encode_shared
 from petrelhall.quota.shares import Share, Terms
 from petrelhall.standins.crowd import Demand
@@ -52,94 +52,100 @@
 from petrelhall.standins.strikes import Play, Strike
 from petrelhall.standins.world import GatewayProcess, Setup
 from petrelhall.standins.world import World as RealWorld
-from petrelhall.standins.world import settings as platform
+from petrelhall.standins.world import settings as gateway_settings
 
-FIVE = pace(5, 7, 400.0, 0.5, 1000.0, 0.0, 50.0, False)
-CALM = Turn("well", steps=20)
+FIVE_MEMBERS = pace(5, 7, 400.0, 0.5, 1000.0, 0.0, 50.0, False)
+NO_FAULTS = Turn("well", steps=20)
 
 
-def between(*sides: tuple[int, ...]) -> frozenset[tuple[int, int]]:
-    """Give the ways that a split into sides cuts."""
+def cut_between(*partitions: tuple[int, ...]) -> frozenset[tuple[int, int]]:
+    """Return the (sender, receiver) pairs that a split into the given partitions disconnects."""
     return frozenset(
-        (one, other) for side in sides for one in side for far in sides if far is not side for other in far
+        (sender, receiver)
+        for partition in partitions
+        for sender in partition
+        for remote in partitions
+        if remote is not partition
+        for receiver in remote
     )
 
 
-class Rules(unittest.TestCase):
-    """The voter's and the holder's own rules."""
+class ProtocolRules(unittest.TestCase):
+    """Rules of a single voter, lease holder, ballot, message and document store."""
 
-    def ask(self, version: int = 1, life: int = 7, either: bool = False, digest: bytes = b"d1") -> Ask:
-        return Ask(life, 1, version, digest, 1000, True, either)
+    def make_ask(self, version: int = 1, incarnation: int = 7, either: bool = False, digest: bytes = b"d1") -> Ask:
+        return Ask(incarnation, 1, version, digest, 1000, True, either)
 
-    def voter(self, strictest: bool = False) -> Voter:
+    def make_voter(self, strictest: bool = False) -> Voter:
         voter = Voter(dataclasses.replace(PACE, strictest=strictest), Memory(0, b"d0"), -1e6)
         voter.fence = 0.0
         return voter
 
-    def test_a_version_is_granted_only_once_every_lease_on_the_one_before_is_over_or_given_back(self) -> None:
-        voter = self.voter()
-        self.assertEqual(voter.grant(0.0, 2, self.ask(0, digest=b"d0")), FULL)
-        self.assertEqual(voter.grant(0.0, 0, self.ask(0, digest=b"d0")), FULL)
+    def test_voter_grants_a_version_only_after_all_leases_on_the_previous_one_expired_or_were_released(self) -> None:
+        voter = self.make_voter()
+        self.assertEqual(voter.grant(0.0, 2, self.make_ask(0, digest=b"d0")), FULL)
+        self.assertEqual(voter.grant(0.0, 0, self.make_ask(0, digest=b"d0")), FULL)
         voter.learn(1, b"d1")
-        self.assertEqual(voter.grant(10.0, 0, self.ask()), NONE)  # 2 may still serve by version 0
-        self.assertEqual(voter.cleared(1000.0), [])  # its lease runs by its own clock, which may be slow
+        self.assertEqual(voter.grant(10.0, 0, self.make_ask()), NONE)  # member 2 may still serve version 0
+        self.assertEqual(voter.cleared(1000.0), [])  # the lease is timed by the holder's clock, which may run slow
         self.assertEqual([member for member, _ in voter.cleared(1000.0 * MARGIN)], [0])
-        voter = self.voter()
-        voter.grant(0.0, 2, self.ask(0, digest=b"d0"))
+        voter = self.make_voter()
+        voter.grant(0.0, 2, self.make_ask(0, digest=b"d0"))
         voter.learn(1, b"d1")
-        self.assertEqual(voter.grant(10.0, 0, self.ask()), NONE)
-        self.assertEqual(voter.grant(20.0, 2, self.ask(life=8)), NONE)  # another life of it gives nothing back
-        self.assertEqual(voter.grant(30.0, 2, self.ask()), FULL)
+        self.assertEqual(voter.grant(10.0, 0, self.make_ask()), NONE)
+        # An ask from another incarnation releases no lease.
+        self.assertEqual(voter.grant(20.0, 2, self.make_ask(incarnation=8)), NONE)
+        self.assertEqual(voter.grant(30.0, 2, self.make_ask()), FULL)
 
-    def test_who_voted_for_the_next_version_grants_nothing_on_this_one(self) -> None:
-        voter = self.voter()
+    def test_voter_that_accepted_the_next_version_stops_granting_the_current_one(self) -> None:
+        voter = self.make_voter()
         self.assertTrue(voter.promise(5))
-        self.assertEqual(voter.grant(0.0, 0, self.ask(0, digest=b"d0")), FULL)
-        self.assertFalse(voter.accept(0.0, 4, b"x"))  # a later ballot was promised
+        self.assertEqual(voter.grant(0.0, 0, self.make_ask(0, digest=b"d0")), FULL)
+        self.assertFalse(voter.accept(0.0, 4, b"x"))  # a higher ballot was promised
         self.assertTrue(voter.accept(0.0, 5, b"x"))
-        self.assertEqual(voter.grant(0.0, 0, self.ask(0, digest=b"d0")), NONE)
+        self.assertEqual(voter.grant(0.0, 0, self.make_ask(0, digest=b"d0")), NONE)
         self.assertFalse(voter.promise(4))
-        voter.learn(1, b"y")  # decided to be another: the slot is another now
+        voter.learn(1, b"y")  # another value was decided, so the voter moves on to the next slot
         self.assertEqual((voter.memory.accepted, voter.memory.promised), (0, 0))
 
-    def test_nothing_is_granted_by_one_that_is_empty_or_whose_earlier_life_may_have_granted(self) -> None:
+    def test_voter_without_memory_or_within_its_restart_fence_grants_nothing(self) -> None:
         voter = Voter(PACE, Memory(1, b"d1"), 0.0)
-        self.assertEqual(voter.grant(PACE.fence_ms - 1.0, 0, self.ask()), NONE)
-        self.assertEqual(voter.grant(PACE.fence_ms, 0, self.ask()), FULL)
+        self.assertEqual(voter.grant(PACE.fence_ms - 1.0, 0, self.make_ask()), NONE)
+        self.assertEqual(voter.grant(PACE.fence_ms, 0, self.make_ask()), FULL)
         self.assertGreaterEqual(PACE.fence_ms, MARGIN * PACE.life_ms)
-        self.assertEqual(Voter(PACE, None, -1e9).grant(0.0, 0, self.ask()), NONE)
-        self.assertEqual(self.voter().grant(0.0, 0, self.ask(0, digest=b"another")), NONE)
+        self.assertEqual(Voter(PACE, None, -1e9).grant(0.0, 0, self.make_ask()), NONE)
+        self.assertEqual(self.make_voter().grant(0.0, 0, self.make_ask(0, digest=b"another")), NONE)
 
-    def test_the_stricter_of_two_is_granted_only_where_wanted_and_only_next_to_the_version_before(self) -> None:
+    def test_strictest_of_two_versions_is_granted_only_if_configured_and_only_for_consecutive_versions(self) -> None:
         for wanted, either, kind in ((True, True, EITHER), (True, False, NONE), (False, True, NONE)):
-            voter = self.voter(wanted)
-            voter.grant(0.0, 2, self.ask(0, digest=b"d0"))
+            voter = self.make_voter(wanted)
+            voter.grant(0.0, 2, self.make_ask(0, digest=b"d0"))
             voter.learn(1, b"d1")
-            self.assertEqual(voter.grant(10.0, 0, self.ask(either=either)), kind)
-        voter = self.voter(True)
-        voter.grant(0.0, 2, self.ask(0, digest=b"d0"))
+            self.assertEqual(voter.grant(10.0, 0, self.make_ask(either=either)), kind)
+        voter = self.make_voter(True)
+        voter.grant(0.0, 2, self.make_ask(0, digest=b"d0"))
         voter.learn(2, b"d2")
-        self.assertEqual(voter.grant(10.0, 0, self.ask(2, either=True, digest=b"d2")), NONE)
+        self.assertEqual(voter.grant(10.0, 0, self.make_ask(2, either=True, digest=b"d2")), NONE)
 
-    def test_a_lease_counts_from_the_ask_and_only_with_a_majority_of_the_voters(self) -> None:
+    def test_lease_runs_from_the_request_and_needs_a_majority_of_voters(self) -> None:
         holder = Holder(PACE)
         nonce = holder.ask(100.0)
         self.assertTrue(holder.granted(0, nonce, FULL, 1000.0))
         self.assertEqual(holder.until[FULL], -math.inf)
-        self.assertFalse(holder.granted(9, nonce, FULL, 1000.0))  # no voter
-        self.assertFalse(holder.granted(1, nonce + 1, FULL, 1000.0))  # never asked
+        self.assertFalse(holder.granted(9, nonce, FULL, 1000.0))  # not a voter
+        self.assertFalse(holder.granted(1, nonce + 1, FULL, 1000.0))  # unknown nonce
         self.assertTrue(holder.granted(1, nonce, EITHER, 1000.0))
         self.assertEqual((holder.until[FULL], holder.until[EITHER]), (-math.inf, 1100.0))
         self.assertTrue(holder.granted(2, nonce, FULL, 9999.0))
-        self.assertTrue(holder.granted(0, nonce, FULL, 9999.0))  # no longer than was asked for
+        self.assertTrue(holder.granted(0, nonce, FULL, 9999.0))  # capped at the requested duration
         self.assertEqual(holder.until[FULL], 1100.0)
         holder.begin()
-        self.assertFalse(holder.granted(2, nonce, FULL, 1000.0))  # an answer of the version before
+        self.assertFalse(holder.granted(2, nonce, FULL, 1000.0))  # answers a request for the previous version
 
-    def test_clocks_that_run_apart_leave_no_moment_for_two(self) -> None:
+    def test_clock_drift_within_the_bound_leaves_no_overlap_of_two_leases(self) -> None:
         self.assertGreater(PACE.life_ms * MARGIN / (1.0 + RHO), PACE.life_ms / (1.0 - RHO))
 
-    def test_a_ballots_votes_count_for_its_time_only_and_its_number_is_nobody_elses(self) -> None:
+    def test_ballot_expires_and_ballot_numbers_are_unique_per_member_and_incarnation(self) -> None:
         ballot = Ballot(1, ballot_number(0, 2, 5), 0.0, b"own")
         self.assertTrue(ballot.open(PACE.ballot_ms, PACE))
         self.assertFalse(ballot.open(PACE.ballot_ms + 1.0, PACE))
@@ -148,10 +154,10 @@
         ballot.promised(1, 3, b"accepted", PACE)
         self.assertEqual(ballot.value, b"accepted")
         numbers = {
-            ballot_number(after, member, life)
+            ballot_number(after, member, incarnation)
             for after in (0, ballot_number(0, 4, 1))
             for member in (0, 4)
-            for life in (1, 2)
+            for incarnation in (1, 2)
         }
         self.assertEqual(len(numbers), 8)
         self.assertGreater(ballot_number(ballot_number(0, 4, 9), 0, 1), ballot_number(0, 4, 9))
@@ -159,55 +165,55 @@
             best([Memory(1, b"a", 9), Memory(2, b"b", 3, 2, b"x"), Memory(2, b"b", 7)]), Memory(2, b"b", 7, 2, b"x")
         )
 
-    def test_words_fit_for_a_thousand_members_and_junk_is_told_apart(self) -> None:
-        everyone, digest = words.bitmap(set(range(1000))), bytes(16)
-        big = 2**62
-        for word in (
-            words.Grant(big, big, big, 2, 99999, 99999, digest, everyone),
-            words.Opinion(big, big, 99999, digest, 2, "x" * words.REASON, True, everyone),
-            words.Decided(big, ((99999, digest),) * words.HISTORY),
-            words.Check(big, 99999, digest, digest, bytes(DATA)),
-            words.Piece(big, digest, 500, MOST_BYTES, bytes(DATA)),
-            words.State(big, big, big, True, 99999, digest, big, big, digest, (2**31,) * 15),
+    def test_messages_fit_in_a_datagram_for_a_thousand_members_and_invalid_ones_are_classified(self) -> None:
+        all_members, digest = words.bitmap(set(range(1000))), bytes(16)
+        large = 2**62
+        for message in (
+            words.Grant(large, large, large, 2, 99999, 99999, digest, all_members),
+            words.Opinion(large, large, 99999, digest, 2, "x" * words.REASON, True, all_members),
+            words.Decided(large, ((99999, digest),) * words.HISTORY),
+            words.Check(large, 99999, digest, digest, bytes(DATA)),
+            words.Piece(large, digest, 500, MOST_BYTES, bytes(DATA)),
+            words.State(large, large, large, True, 99999, digest, large, large, digest, (2**31,) * 15),
         ):
-            content = words.encode(word, 1000, 7)
-            self.assertLessEqual(len(content), words.MOST, type(word).__name__)
-            self.assertEqual(words.decode(content, 1000, 7), word)
+            content = words.encode(message, 1000, 7)
+            self.assertLessEqual(len(content), words.MOST, type(message).__name__)
+            self.assertEqual(words.decode(content, 1000, 7), message)
             self.assertEqual(words.decode(content, 1000, 5), "foreign")
             self.assertEqual(words.decode(content[:-1] + bytes([content[-1] ^ 1]), 1000, 7), "spoilt")
         self.assertEqual(words.numbers(words.bitmap({0, 9, 200})), {0, 9, 200})
         self.assertEqual(voters_of(200, 7), frozenset(place * 200 // 7 for place in range(7)))
 
-    def test_documents_come_in_pieces_by_digest_and_what_is_held_is_bounded(self) -> None:
-        giver, taker, draw = Documents(), Documents(), random.Random(3)
-        content = draw.randbytes(60000)
-        digest = giver.put(content)
-        taker.seek(digest, 4)
-        got, asks = None, 0
-        while got is None and asks < 40:
-            asks += 1
-            for _, name, first, mask in taker.wants():
-                for index, size, data in giver.pieces(name, first, mask):
-                    if draw.random() > 0.2:
-                        got = taker.piece(name, index, size, data) or got
-        self.assertEqual(got, content)
-        self.assertIsNone(taker.piece(digest_of(b"never asked"), 0, 11, b"never asked"))
-        taker.seek(digest_of(b"right"), 1)
-        self.assertIsNone(taker.piece(digest_of(b"right"), 0, 5, b"wrong"))  # begun anew, not taken
+    def test_documents_are_transferred_in_pieces_by_digest_and_the_store_is_bounded(self) -> None:
+        sender, receiver, rng = Documents(), Documents(), random.Random(3)
+        content = rng.randbytes(60000)
+        digest = sender.put(content)
+        receiver.seek(digest, 4)
+        received, rounds = None, 0
+        while received is None and rounds < 40:
+            rounds += 1
+            for _, piece_digest, first, mask in receiver.wants():
+                for index, size, data in sender.pieces(piece_digest, first, mask):
+                    if rng.random() > 0.2:
+                        received = receiver.piece(piece_digest, index, size, data) or received
+        self.assertEqual(received, content)
+        self.assertIsNone(receiver.piece(digest_of(b"never asked"), 0, 11, b"never asked"))
+        receiver.seek(digest_of(b"right"), 1)
+        self.assertIsNone(receiver.piece(digest_of(b"right"), 0, 5, b"wrong"))  # digest mismatch: the transfer restarts
         for number in range(3 * KEPT):
-            taker.put(b"%d" % number, frozenset((digest_of(b"0"),)))
-        self.assertEqual(len(taker.held), KEPT)
-        self.assertIn(digest_of(b"0"), taker.held)
+            receiver.put(b"%d" % number, frozenset((digest_of(b"0"),)))
+        self.assertEqual(len(receiver.held), KEPT)
+        self.assertIn(digest_of(b"0"), receiver.held)
 
 
-class Changes(unittest.TestCase):
-    """Changes in simulated time."""
+class PolicyChanges(unittest.TestCase):
+    """Policy changes on a simulated clock and network, with and without faults."""
 
     def setUp(self) -> None:
         self.worlds: list[World] = []
 
-    def world(self, paces: Pace = PACE, disk: bool = False, document: bytes = FILE) -> World:
-        world = settled(Accord, disk, paces, document)
+    def new_world(self, timing: Pace = PACE, disk: bool = False, document: bytes = FILE) -> World:
+        world = settled(Accord, disk, timing, document)
         self.worlds.append(world)
         self.assertTrue(all(core.allowed(world.clock(number)) for number, core in world.cores.items()))
         return world
@@ -221,482 +227,497 @@
         event = Propose(content, core.known.version if base is None else base)
         world.carry(number, core.handle(world.clock(number), event), Turn("well"))
 
-    def ends(self, world: World, number: int) -> list[str]:
+    def outcomes(self, world: World, number: int) -> list[str]:
         return [change.state for change in world.cores[number].changes]
 
-    def versions(self, world: World) -> list[int]:
-        """Give the version that each gateway may serve now, -1 for none."""
+    def served_versions(self, world: World) -> list[int]:
+        """Return the version that each gateway may serve now, -1 for none."""
         return [
             core.serving[0] if core.serving and core.allowed(world.clock(number)) else -1
             for number, core in sorted(world.cores.items())
         ]
 
-    def test_with_all_up_a_change_is_in_force_everywhere_in_a_moment(self) -> None:
-        world = self.world(FIVE)
+    def test_change_takes_effect_everywhere_promptly_without_faults(self) -> None:
+        world = self.new_world(FIVE_MEMBERS)
         self.propose(world, 3, b"one")
         world.take(Turn("well", steps=4))
-        self.assertEqual((self.ends(world, 3), self.versions(world)), (["in force"], [1] * 5))
-        self.propose(world, 3, b"one", base=0)  # the same document again is the same change
-        self.assertEqual(self.ends(world, 3), ["in force"])
+        self.assertEqual((self.outcomes(world, 3), self.served_versions(world)), (["in force"], [1] * 5))
+        self.propose(world, 3, b"one", base=0)  # proposing the same document again is idempotent
+        self.assertEqual(self.outcomes(world, 3), ["in force"])
         self.assertEqual(world.cores[3].owed(world.clock(3)), [])
 
-    def test_an_operator_is_answered_with_the_row_of_the_change_that_the_view_shows(self) -> None:
+    def test_propose_answers_with_the_same_change_entry_as_the_view(self) -> None:
         for content, base, status in ((b"one", 0, 200), (b"bad", 0, 409), (b"two", 1, 409)):
-            core, now = self.world().cores[2], 1e9
-            shell = SimpleNamespace(core=core, handle=partial(core.handle, now))
-            told, row = PolicyConsensus.propose(shell, content, base)  # type: ignore[arg-type]
+            core, now = self.new_world().cores[2], 1e9
+            consensus = SimpleNamespace(core=core, handle=partial(core.handle, now))
+            answer_status, row = PolicyConsensus.propose(consensus, content, base)  # type: ignore[arg-type]
             (shown,) = core.view(now)["changes"]
-            self.assertEqual((told, row | {"took_ms": 0}), (status, shown | {"took_ms": 0}))
+            self.assertEqual((answer_status, row | {"took_ms": 0}), (status, shown | {"took_ms": 0}))
             self.assertEqual((row["digest"], row["version"]), (digest_of(content).hex(), base + 1))
 
-    def test_two_operators_at_once_get_one_change_in_and_the_other_told_so(self) -> None:
-        world = self.world(FIVE)
+    def test_one_of_two_concurrent_proposals_wins_and_the_other_is_reported_as_lost(self) -> None:
+        world = self.new_world(FIVE_MEMBERS)
         for number, content in ((0, b"one"), (4, b"other")):
             core = world.cores[number]
             for action in core.handle(world.clock(number), Propose(content, 0)):
-                if isinstance(action, Send):  # both are on their ways at once
+                if isinstance(action, Send):  # both proposals are in transit at the same time
                     world.late.append((action.to, number, action.content))
         for _ in range(8):
-            world.take(CALM)
-        self.assertEqual(sorted(self.ends(world, 0) + self.ends(world, 4)), ["in force", "nowhere"])
+            world.take(NO_FAULTS)
+        self.assertEqual(sorted(self.outcomes(world, 0) + self.outcomes(world, 4)), ["in force", "nowhere"])
 
-    def test_one_gateways_checks_stop_a_change_for_all_and_say_why(self) -> None:
-        world = self.world(FIVE)
+    def test_rejection_by_one_gateway_stops_a_change_everywhere_and_reports_the_reason(self) -> None:
+        world = self.new_world(FIVE_MEMBERS)
         self.propose(world, 0, b"bad")
-        world.take(CALM)
+        world.take(NO_FAULTS)
         (change,) = world.cores[0].changes
         self.assertEqual((change.state, change.reasons), ("nowhere", {2: "not here"}))
-        self.assertEqual(self.versions(world), [0] * 5)
-        self.propose(world, 2, b"bad again")  # at the gateway that refuses, at once
-        self.assertEqual(self.ends(world, 2), ["nowhere"])
+        self.assertEqual(self.served_versions(world), [0] * 5)
+        self.propose(world, 2, b"bad again")  # rejected immediately when proposed at the gateway that refuses it
+        self.assertEqual(self.outcomes(world, 2), ["nowhere"])
 
-    def test_a_change_for_another_version_or_too_large_or_too_early_is_nowhere_at_once(self) -> None:
-        world = self.world()
+    def test_proposal_with_wrong_base_or_too_large_or_before_recovery_fails_immediately(self) -> None:
+        world = self.new_world()
         self.propose(world, 0, b"one", base=4)
         self.propose(world, 0, bytes(MOST_BYTES + 1))
-        self.assertEqual(self.ends(world, 0), ["nowhere", "nowhere"])
-        fresh = Accord(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
-        fresh.handle(0.0, Propose(b"x", 0))
-        self.assertEqual(fresh.changes[0].state, "nowhere")
+        self.assertEqual(self.outcomes(world, 0), ["nowhere", "nowhere"])
+        unrecovered = Accord(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
+        unrecovered.handle(0.0, Propose(b"x", 0))
+        self.assertEqual(unrecovered.changes[0].state, "nowhere")
 
-    def test_with_one_down_it_takes_a_lease_and_the_one_that_comes_back_learns_before_it_serves(self) -> None:
-        world = self.world(FIVE)
+    def test_change_waits_for_the_lease_of_a_crashed_gateway_which_learns_it_before_serving_again(self) -> None:
+        world = self.new_world(FIVE_MEMBERS)
         world.dead.add(2)
         self.propose(world, 0, b"one")
         world.take(Turn("well", steps=12))
-        self.assertEqual(self.versions(world)[0], 0)  # the lease of the one that is down may not be over
+        self.assertEqual(self.served_versions(world)[0], 0)  # the crashed gateway's lease may not have expired
         world.take(Turn("well", steps=40))
-        self.assertEqual(self.versions(world)[:2], [1, 1])
-        took = world.cores[0].changes[0]
-        self.assertLess(took.ended - took.began, MARGIN * FIVE.life_ms + 1000.0)
+        self.assertEqual(self.served_versions(world)[:2], [1, 1])
+        change = world.cores[0].changes[0]
+        self.assertLess(change.ended - change.began, MARGIN * FIVE_MEMBERS.life_ms + 1000.0)
         self.assertIn(2, world.cores[0].owed(world.clock(0)))
-        world.now += 3_600_000.0  # an hour later by its clock
+        world.now += 3_600_000.0  # it stays down for an hour
         world.start(2)
         self.assertFalse(world.cores[2].allowed(world.clock(2)))
         for _ in range(5):
-            world.take(CALM)
-        self.assertEqual(self.versions(world), [1] * 5)
+            world.take(NO_FAULTS)
+        self.assertEqual(self.served_versions(world), [1] * 5)
         self.assertEqual(world.cores[0].owed(world.clock(0)), [])
 
-    def test_one_whose_checks_refuse_what_was_decided_without_it_does_not_serve_and_says_why(self) -> None:
-        world = self.world(FIVE)
+    def test_gateway_that_rejects_a_version_decided_without_it_does_not_serve_and_reports_the_reason(self) -> None:
+        world = self.new_world(FIVE_MEMBERS)
         world.dead.add(2)
         world.take(Turn("well", steps=40))
         self.propose(world, 0, b"bad")
         world.take(Turn("well", steps=40))
         world.start(2)
         for _ in range(5):
-            world.take(CALM)
-        self.assertEqual(self.versions(world), [1, 1, -1, 1, 1])
+            world.take(NO_FAULTS)
+        self.assertEqual(self.served_versions(world), [1, 1, -1, 1, 1])
         self.assertIn("not here", world.cores[2].view(world.clock(2))["why"])
-        world.cores[2].checks.check = lambda content: ""  # its file was mended
+        world.cores[2].checks.check = lambda content: ""  # its operator file was corrected
         PolicyConsensus.on_operator_file_changed(SimpleNamespace(core=world.cores[2]))  # type: ignore[arg-type]
-        world.take(CALM)
-        self.assertEqual(self.versions(world), [1] * 5)
+        world.take(NO_FAULTS)
+        self.assertEqual(self.served_versions(world), [1] * 5)
 
-    def test_a_split_in_any_phase_leaves_the_smaller_part_unserved_and_one_version(self) -> None:
-        for sides in (((0, 1, 2), (3, 4)), ((0, 1), (2, 3), (4,))):
-            for word in STEPS:
+    def test_partition_during_a_change_stops_the_minority_and_all_converge_on_one_version(self) -> None:
+        for partitions in (((0, 1, 2), (3, 4)), ((0, 1), (2, 3), (4,))):
+            for step in STEPS:
                 for proposer in (0, 4):
-                    world = self.world(FIVE)
-                    cut: list[bool] = []
-
-                    def begin(
-                        at: World, sender: int, sent: Any, word: Any = word, cut: list[bool] = cut, sides: Any = sides
+                    world = self.new_world(FIVE_MEMBERS)
+                    triggered: list[bool] = []
+
+                    def mark_step(
+                        at: World,
+                        sender: int,
+                        sent: Any,
+                        step: Any = step,
+                        triggered: list[bool] = triggered,
+                        partitions: Any = partitions,
                     ) -> bool:
-                        cut += [True] * (isinstance(sent, word) and not cut)
-                        return not cut or any(sender in side for side in sides)
+                        triggered += [True] * (isinstance(sent, step) and not triggered)
+                        return not triggered or any(sender in partition for partition in partitions)
 
-                    world.before_send = begin
+                    world.before_send = mark_step
                     self.propose(world, proposer, b"one")
-                    split = Turn("split", cut=between(*sides), steps=60)
+                    split = Turn("split", cut=cut_between(*partitions), steps=60)
                     world.take(split)
                     world.before_send = None
-                    for number, version in enumerate(self.versions(world)):
-                        if not (len(sides) == 2 and number in sides[0]):
-                            self.assertEqual(version, -1, (word.__name__, sides, number))
+                    for number, version in enumerate(self.served_versions(world)):
+                        if not (len(partitions) == 2 and number in partitions[0]):
+                            self.assertEqual(version, -1, (step.__name__, partitions, number))
                     for _ in range(6):
-                        world.take(CALM)
-                    self.assertEqual(len(set(self.versions(world))), 1)
-                    self.assertNotIn(-1, self.versions(world), (word.__name__, sides, proposer))
+                        world.take(NO_FAULTS)
+                    self.assertEqual(len(set(self.served_versions(world))), 1)
+                    self.assertNotIn(-1, self.served_versions(world), (step.__name__, partitions, proposer))
 
-    def test_a_proposer_that_is_not_heard_changes_nothing_and_says_so(self) -> None:
-        world = self.world(FIVE)
-        deaf = Turn("not heard", cut=frozenset((0, other) for other in range(1, 5)), steps=150)
+    def test_proposer_whose_messages_are_all_lost_changes_nothing_and_reports_failure(self) -> None:
+        world = self.new_world(FIVE_MEMBERS)
+        outgoing_lost = Turn("outgoing messages lost", cut=frozenset((0, other) for other in range(1, 5)), steps=150)
         self.propose(world, 0, b"one")
-        world = self.world(FIVE)
+        world = self.new_world(FIVE_MEMBERS)
         core = world.cores[0]
-        world.carry(0, core.handle(world.clock(0), Propose(b"one", 0)), deaf)
-        world.take(deaf)
+        world.carry(0, core.handle(world.clock(0), Propose(b"one", 0)), outgoing_lost)
+        world.take(outgoing_lost)
         (change,) = core.changes
         self.assertEqual(change.state, "nowhere")
         self.assertIn("no answer from", change.reasons[-1])
-        self.assertEqual(self.versions(world), [-1, 0, 0, 0, 0])
+        self.assertEqual(self.served_versions(world), [-1, 0, 0, 0, 0])
 
-    def test_one_that_stood_still_past_its_lease_lets_nothing_in_before_it_has_seen_that(self) -> None:
-        world = self.world(FIVE)
+    def test_gateway_paused_past_its_lease_admits_nothing_after_it_resumes(self) -> None:
+        world = self.new_world(FIVE_MEMBERS)
         world.still.add(3)
         self.propose(world, 0, b"one")
         world.take(Turn("well", steps=60))
-        self.assertEqual(self.versions(world)[0], 1)
+        self.assertEqual(self.served_versions(world)[0], 1)
         world.still.clear()
         admitted = len(world.record.admitted)
-        world.look(3)  # a request that waited comes before everything else
+        world.look(3)  # a request queued during the pause is handled before any tick or message
         self.assertEqual(len(world.record.admitted), admitted)
-        world.take(CALM)
-        self.assertEqual(self.versions(world), [1] * 5)
+        world.take(NO_FAULTS)
+        self.assertEqual(self.served_versions(world), [1] * 5)
 
-    def test_all_restarted_at_once_come_back_with_what_was_decided_where_folders_last(self) -> None:
-        for disk, version in ((True, 1), (False, 0)):
-            world = self.world(FIVE, disk)
+    def test_simultaneous_restart_of_all_keeps_decisions_only_with_persistent_folders(self) -> None:
+        for persistent, version in ((True, 1), (False, 0)):
+            world = self.new_world(FIVE_MEMBERS, persistent)
             self.propose(world, 1, b"one")
-            world.take(CALM)
-            self.assertEqual(self.versions(world), [1] * 5)
-            if not disk:
-                self.worlds.remove(world)  # its files are all that is left, which is what the operators' page says
+            world.take(NO_FAULTS)
+            self.assertEqual(self.served_versions(world), [1] * 5)
+            if not persistent:
+                # Without folders only the operator files remain, as the operators' documentation says.
+                self.worlds.remove(world)
             for number in range(5):
                 world.start(number)
             for _ in range(5):
-                world.take(CALM)
-            self.assertEqual(self.versions(world), [version] * 5)
+                world.take(NO_FAULTS)
+            self.assertEqual(self.served_versions(world), [version] * 5)
 
-    def test_a_minority_that_remembers_decides_nothing_until_an_operator_says_that_the_others_are_dead(self) -> None:
-        world = self.world(FIVE)
+    def test_minority_with_memory_decides_nothing_until_an_operator_confirms_the_loss_of_the_others(self) -> None:
+        world = self.new_world(FIVE_MEMBERS)
         self.propose(world, 0, b"one")
-        world.take(CALM)
+        world.take(NO_FAULTS)
         for number in (2, 3, 4):
             world.start(number)
         for _ in range(5):
-            world.take(CALM)
-        self.assertEqual(self.versions(world), [-1] * 5)
+            world.take(NO_FAULTS)
+        self.assertEqual(self.served_versions(world), [-1] * 5)
         self.assertIn("2 voters that remember", world.cores[4].trouble)
         for number in (2, 3, 4):
             world.cores[number].handle(world.clock(number), Begin())
         for _ in range(5):
-            world.take(CALM)
-        self.assertEqual(self.versions(world), [1] * 5)
+            world.take(NO_FAULTS)
+        self.assertEqual(self.served_versions(world), [1] * 5)
 
-    def test_files_that_differ_at_the_first_start_serve_nobody_and_are_named(self) -> None:
-        world = World(Accord, paces_of := False, PACE)
-        self.assertFalse(paces_of)
+    def test_different_operator_files_at_first_start_block_service_and_are_reported(self) -> None:
+        world = World(Accord, disk := False, PACE)
+        self.assertFalse(disk)
         for number in range(3):
             world.document = b"another" if number == 1 else FILE
             world.start(number)
         for _ in range(5):
-            world.take(CALM)
-        self.assertEqual(self.versions(world), [-1] * 3)
+            world.take(NO_FAULTS)
+        self.assertEqual(self.served_versions(world), [-1] * 3)
         self.assertIn("differs from that of [1]", world.cores[0].trouble)
 
-    def test_a_rollback_while_one_is_still_owed_the_change_is_a_change_like_any_other(self) -> None:
-        world = self.world(FIVE)
+    def test_rollback_while_a_paused_gateway_lacks_the_change_acts_as_an_ordinary_change(self) -> None:
+        world = self.new_world(FIVE_MEMBERS)
         self.propose(world, 0, b"one")
-        world.take(CALM)
+        world.take(NO_FAULTS)
         world.still.add(4)
         self.propose(world, 0, b"two")
         world.take(Turn("well", steps=60))
-        self.assertEqual(self.versions(world)[:4], [2] * 4)
+        self.assertEqual(self.served_versions(world)[:4], [2] * 4)
         self.propose(world, 1, b"one")
         world.take(Turn("well", steps=60))
-        self.assertEqual(self.versions(world)[:4], [3] * 4)
+        self.assertEqual(self.served_versions(world)[:4], [3] * 4)
         world.still.clear()
         for _ in range(4):
-            world.take(CALM)
-        self.assertEqual(self.versions(world), [3] * 5)
+            world.take(NO_FAULTS)
+        self.assertEqual(self.served_versions(world), [3] * 5)
         self.assertEqual({core.known.digest for core in world.cores.values()}, {digest_of(b"one")})
 
-    def test_sixty_kilobytes_over_a_network_that_loses_a_fifth(self) -> None:
-        world = self.world()
-        draw = random.Random(5)
-        world.before_send = lambda at, sender, word: draw.random() > 0.2
-        self.propose(world, 0, draw.randbytes(60000))
+    def test_large_document_takes_effect_despite_twenty_percent_message_loss(self) -> None:
+        world = self.new_world()
+        rng = random.Random(5)
+        world.before_send = lambda at, sender, message: rng.random() > 0.2
+        self.propose(world, 0, rng.randbytes(60000))
         for _ in range(40):
-            world.take(CALM)
-            if self.ends(world, 0) == ["in force"]:
+            world.take(NO_FAULTS)
+            if self.outcomes(world, 0) == ["in force"]:
                 break
-        self.assertEqual((self.ends(world, 0), self.versions(world)), (["in force"], [1] * 3))
+        self.assertEqual((self.outcomes(world, 0), self.served_versions(world)), (["in force"], [1] * 3))
 
-    def test_words_that_are_replayed_spoilt_or_of_another_life_change_nothing(self) -> None:
-        world = self.world()
-        said: list[tuple[int, int, bytes]] = []
-        carry = world.give
+    def test_replayed_corrupted_or_stale_messages_change_nothing(self) -> None:
+        world = self.new_world()
+        sent_messages: list[tuple[int, int, bytes]] = []
+        deliver = world.give
         world.give = lambda receiver, sender, content, turn: (  # type: ignore[method-assign]
-            said.append((receiver, sender, content)),
-            carry(receiver, sender, content, turn),
+            sent_messages.append((receiver, sender, content)),
+            deliver(receiver, sender, content, turn),
         )[1]
         self.propose(world, 0, b"one")
-        world.take(CALM)
+        world.take(NO_FAULTS)
         self.propose(world, 0, b"two")
-        world.take(CALM)
+        world.take(NO_FAULTS)
         before = [core.known for core in world.cores.values()]
-        for receiver, sender, content in said:
-            for bytes_ in (content, content[:9] + b"\xff" + content[10:]):
-                world.cores[receiver].handle(world.clock(receiver), Heard(sender, bytes_))
+        for receiver, sender, content in sent_messages:
+            for replayed in (content, content[:9] + b"\xff" + content[10:]):
+                world.cores[receiver].handle(world.clock(receiver), Heard(sender, replayed))
         self.assertEqual([core.known for core in world.cores.values()], before)
-        world.give = carry  # type: ignore[method-assign]
+        world.give = deliver  # type: ignore[method-assign]
         for _ in range(3):
-            world.take(CALM)
-        self.assertEqual(self.versions(world), [2] * 3)
+            world.take(NO_FAULTS)
+        self.assertEqual(self.served_versions(world), [2] * 3)
 
-    def test_answers_to_an_earlier_life_and_votes_that_come_after_their_ballot_count_for_nothing(self) -> None:
-        world = self.world()
+    def test_answers_to_an_earlier_incarnation_and_votes_after_ballot_expiry_are_ignored(self) -> None:
+        world = self.new_world()
         core = world.cores[0]
         now = world.clock(0)
         grant = words.Grant(9, core.life + 1, core.holder.nonce, FULL, 1000, 0, core.known.digest, b"")
-        found = core.handle(now, Heard(1, words.encode(grant, 3, 3)))
-        self.assertIn(Dropped("other_life"), found)
-        for late, version in ((PACE.ballot_ms + 1.0, 0), (0.0, 1)):
-            core.ballot = Ballot(1, 77, now - late, b"x", value=b"x")
-            for voter in (1, 2):  # as a process that stood still would find them waiting
+        actions = core.handle(now, Heard(1, words.encode(grant, 3, 3)))
+        self.assertIn(Dropped("other_life"), actions)
+        for lateness_ms, version in ((PACE.ballot_ms + 1.0, 0), (0.0, 1)):
+            core.ballot = Ballot(1, 77, now - lateness_ms, b"x", value=b"x")
+            for voter in (1, 2):  # votes queued while the process was paused
                 if core.ballot is not None:
                     vote = words.encode(words.Accepted(9, core.life, 1, 77), 3, 3)
                     core.on_message(now, voter, vote)
             self.assertEqual(core.known.version, version)
-        self.worlds.remove(world)  # nobody has such a document
+        self.worlds.remove(world)  # no gateway holds a document with this made-up digest
 
-    def test_what_was_not_voted_on_can_be_taken_back_and_a_slot_can_be_closed(self) -> None:
-        world = self.world()
+    def test_proposal_without_votes_can_be_aborted_and_its_slot_settled(self) -> None:
+        world = self.new_world()
         world.dead.add(1)
         self.propose(world, 0, b"one")
         core = world.cores[0]
         core.handle(world.clock(0), Abort(digest_of(b"one")))
-        self.assertEqual(self.ends(world, 0), ["nowhere"])
+        self.assertEqual(self.outcomes(world, 0), ["nowhere"])
         core.handle(world.clock(0), Settle())
         world.take(Turn("well", steps=60))
         self.assertEqual((core.known.version, core.known.digest), (1, digest_of(FILE)))
-        self.assertEqual(self.versions(world)[0], 1)
+        self.assertEqual(self.served_versions(world)[0], 1)
 
-    def test_who_takes_over_at_an_upgrade_waits_for_earlier_grants_and_goes_on_with_earlier_votes(self) -> None:
+    def test_successor_in_an_upgrade_waits_for_earlier_grants_and_keeps_earlier_votes(self) -> None:
         for memory in (None, Memory(3, digest_of(b"three"), 9, 9, b"voted on")):
             core = Accord(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
             core.may_vote = False
-            late = 5.0 * PACE.fence_ms
-            core.handle(late, Tick())
-            self.assertEqual(core.recovery.query, None)  # it asks nobody what to remember while the other may vote
-            core.take_over(late, memory, (b"three",))
+            takeover_at = 5.0 * PACE.fence_ms
+            core.handle(takeover_at, Tick())
+            self.assertEqual(core.recovery.query, None)  # no recovery query while the predecessor may still vote
+            core.take_over(takeover_at, memory, (b"three",))
             assert core.voter is not None
-            self.assertEqual((core.voter.fence, core.voter.remembers), (late + PACE.fence_ms, memory is not None))
+            self.assertEqual(
+                (core.voter.fence, core.voter.remembers), (takeover_at + PACE.fence_ms, memory is not None)
+            )
             self.assertEqual(core.voter.memory, memory or Memory())
-            core.handle(late + PACE.fence_ms - 1.0, Tick())
-            self.assertEqual(core.recovery.query, None)  # nor while ballots may be open in which that one voted
-            core.handle(late + PACE.fence_ms + PACE.retry_ms, Tick())
+            core.handle(takeover_at + PACE.fence_ms - 1.0, Tick())
+            self.assertEqual(core.recovery.query, None)  # nor while a ballot with a vote of the predecessor may be open
+            core.handle(takeover_at + PACE.fence_ms + PACE.retry_ms, Tick())
             self.assertEqual(core.recovery.query is not None, memory is None)
 
-    def test_one_that_does_not_remember_writes_nothing_down_that_would_pass_for_a_memory(self) -> None:
+    def test_voter_without_memory_persists_nothing_that_could_pass_for_one(self) -> None:
         core = Accord(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
-        word = words.encode(words.Decided(9, ((4, digest_of(b"four")),)), 3, 3)
-        found = core.handle(1.0, Heard(1, word))
-        self.assertEqual((core.known.version, [one for one in found if isinstance(one, Keep)]), (4, []))
+        decided = words.encode(words.Decided(9, ((4, digest_of(b"four")),)), 3, 3)
+        actions = core.handle(1.0, Heard(1, decided))
+        self.assertEqual((core.known.version, [action for action in actions if isinstance(action, Keep)]), (4, []))
 
-    def test_one_that_starts_learns_how_earlier_changes_ended(self) -> None:
-        world = self.world(FIVE)
+    def test_restarted_gateway_learns_the_outcomes_of_earlier_changes(self) -> None:
+        world = self.new_world(FIVE_MEMBERS)
         for number in range(20):
             self.propose(world, 0, b"doc %d" % number)
             world.take(Turn("well", steps=8))
         world.start(3)
         for _ in range(3):
-            world.take(CALM)
+            world.take(NO_FAULTS)
         self.assertEqual(sorted(world.cores[3].history), sorted(world.cores[0].history))
         self.assertEqual(len(world.cores[3].history), 21)
 
-    def test_a_process_that_was_replaced_says_nothing_and_serves_to_the_end_of_its_lease_only(self) -> None:
-        world = self.world()
+    def test_replaced_process_sends_nothing_and_serves_only_until_its_lease_expires(self) -> None:
+        world = self.new_world()
         core, now = world.cores[0], world.clock(0)
         self.assertEqual(core.handle(now, Quiet()), [])
         self.assertTrue(core.allowed(now))
         self.assertEqual(core.handle(now + 500.0, Tick()), [])
         self.assertFalse(core.allowed(now + PACE.life_ms))
 
-    def test_what_must_not_be_forgotten_is_kept_before_it_is_said(self) -> None:
-        world = self.world(disk=True)
-        order: list[str] = []
+    def test_vote_is_persisted_before_it_is_sent(self) -> None:
+        world = self.new_world(disk=True)
+        event_log: list[str] = []
         for number, core in world.cores.items():
             handle = core.handle
 
-            def watched(now: float, event: Any, handle: Any = handle, core: Accord = core) -> Any:
-                found = handle(now, event)
-                for action in found:
+            def record_actions(now: float, event: Any, handle: Any = handle, core: Accord = core) -> Any:
+                actions = handle(now, event)
+                for action in actions:
                     if isinstance(action, Keep):
-                        order.append(f"{core.number} kept {action.memory.accepted > 0}")
+                        event_log.append(f"{core.number} kept {action.memory.accepted > 0}")
                     elif isinstance(action, Send) and isinstance(words.decode(action.content, 3, 3), words.Accepted):
-                        order.append(f"{core.number} voted")
-                return found
+                        event_log.append(f"{core.number} voted")
+                return actions
 
-            core.handle = watched  # type: ignore[method-assign]
+            core.handle = record_actions  # type: ignore[method-assign]
             self.assertEqual(number, core.number)
         self.propose(world, 0, b"one")
-        world.take(CALM)
-        voted = [number for number in (1, 2) if f"{number} voted" in order]
+        world.take(NO_FAULTS)
+        voted = [number for number in (1, 2) if f"{number} voted" in event_log]
         self.assertTrue(voted)
         for number in voted:
-            self.assertLess(order.index(f"{number} kept True"), order.index(f"{number} voted"))
+            self.assertLess(event_log.index(f"{number} kept True"), event_log.index(f"{number} voted"))
 
-    def test_each_step_of_a_change_survives_a_kill_or_a_stop_just_before_and_just_after_it(self) -> None:
-        for word in STEPS:
+    def test_each_step_of_a_change_survives_a_kill_or_pause_before_and_after_it(self) -> None:
+        for step in STEPS:
             for victims in ("proposer", "voter", "majority"):
-                for do in ("kill", "stop"):
+                for fault in ("kill", "stop"):
                     for after in (False, True):
-                        with self.subTest(word=word.__name__, victims=victims, do=do, after=after):
-                            self.strike(word, victims, do, after)
-
-    def strike(self, word: type[words.Word], victims: str, do: str, after: bool) -> None:
-        """Propose, strike at the first word of a kind, bring all back, and see that the end is known and one."""
-        world = self.world(FIVE, disk=victims == "majority")  # without folders a majority would have forgotten
-        struck: list[int] = []
-
-        def hook(at: World, sender: int, sent: Any) -> bool:
-            if isinstance(sent, word) and not struck:
-                some = {"proposer": [0], "voter": [sender if sender else 1], "majority": [0, 1, 2]}[victims]
-                struck.extend(some)
-                (at.dead if do == "kill" else at.still).update(some)
-                return after or sender not in some
+                        with self.subTest(step=step.__name__, victims=victims, fault=fault, after=after):
+                            self.check_fault_at_step(step, victims, fault, after)
+
+    def check_fault_at_step(self, step: type[words.Word], victims: str, fault: str, after: bool) -> None:
+        """Propose, inject a fault at the first message of a type, recover, and check for one known outcome."""
+        # Without folders a killed majority would lose the decision.
+        world = self.new_world(FIVE_MEMBERS, disk=victims == "majority")
+        victim_numbers: list[int] = []
+
+        def inject_fault(at: World, sender: int, sent: Any) -> bool:
+            if isinstance(sent, step) and not victim_numbers:
+                chosen = {"proposer": [0], "voter": [sender if sender else 1], "majority": [0, 1, 2]}[victims]
+                victim_numbers.extend(chosen)
+                (at.dead if fault == "kill" else at.still).update(chosen)
+                return after or sender not in chosen
             return True
 
-        world.before_send = hook
+        world.before_send = inject_fault
         self.propose(world, 0, b"one")
         world.take(Turn("well", steps=24))
-        self.assertTrue(struck)
+        self.assertTrue(victim_numbers)
         world.before_send = None
-        for number in struck:
-            if do == "kill":
+        for number in victim_numbers:
+            if fault == "kill":
                 world.start(number)
         world.still.clear()
         for _ in range(9):
-            world.take(CALM)
-        versions = self.versions(world)
+            world.take(NO_FAULTS)
+        versions = self.served_versions(world)
         self.assertEqual(len(set(versions)), 1, versions)
         self.assertNotIn(-1, versions)
-        if self.ends(world, 0) not in (["in force"], ["nowhere"]):  # forgotten with its process, or not known
+        if self.outcomes(world, 0) not in (["in force"], ["nowhere"]):  # lost with its process, or still unknown
             world.cores[1].handle(world.clock(1), Settle())
-            world.take(CALM)
+            world.take(NO_FAULTS)
         decided = dict(world.cores[1].history)
         self.assertIn(decided.get(1), (digest_of(b"one"), digest_of(FILE), None))
 
 
-class VotesAfterAnEmptyStart(Accord):
-    """Takes what its file says for what is decided, and votes at once."""
+class VotesAfterEmptyRestart(Accord):
+    """Defect: after a restart without memory it treats its file as the decided version and votes immediately."""
 
-    def __init__(self, *arguments: Any, **more: Any) -> None:
-        super().__init__(*arguments, **more)
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
         if self.voter is not None and self.life > 3:
             self.voter.memory, self.voter.remembers, self.voter.fence = Memory(0, self.file), True, -math.inf
 
 
-class ForgetsItsFence(Accord):
-    """Learns and grants at once after a start, though its earlier life's leases may still run."""
+class SkipsRestartFence(Accord):
+    """Defect: recovers and grants right after a restart, though leases of its earlier incarnation may be valid."""
 
-    def __init__(self, *arguments: Any, **more: Any) -> None:
-        super().__init__(*arguments, **more)
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
         if self.voter is not None and self.life > 3:
             self.voter.fence = -math.inf
 
 
-class DoesNotLookAtItsLease(Accord):
-    """Serves on after its lease is over."""
+class IgnoresLeaseExpiry(Accord):
+    """Defect: keeps serving after its lease has expired."""
 
     def allowed(self, now: float) -> bool:
         return self.serving is not None
 
 
-class Grants(Voter):
-    """Grants whatever leases on earlier versions are out."""
+class GrantsDespiteEarlierLeases(Voter):
+    """Defect: grants regardless of outstanding leases on earlier versions."""
 
     def grant(self, now: float, member: int, ask: Ask) -> int:
         self.grants.clear()
         return super().grant(now, member, ask)
 
 
-class TakesHoldBeforeLeasesEnd(Accord):
-    """Its voters do not wait for earlier leases."""
+class DoesNotWaitForEarlierLeases(Accord):
+    """Defect: its voters do not wait for leases on earlier versions to end."""
 
-    def __init__(self, *arguments: Any, **more: Any) -> None:
-        super().__init__(*arguments, **more)
+    def __init__(self, *args: Any, **kwargs: Any) -> None:
+        super().__init__(*args, **kwargs)
         if self.voter is not None:
-            voter, self.voter = self.voter, Grants(self.pace, None, 0.0)
-            self.voter.fence, self.voter.remembers, self.voter.memory = voter.fence, voter.remembers, voter.memory
+            original, self.voter = self.voter, GrantsDespiteEarlierLeases(self.pace, None, 0.0)
+            self.voter.fence, self.voter.remembers, self.voter.memory = (
+                original.fence,
+                original.remembers,
+                original.memory,
+            )
 
 
-class ProposesItsOwn(Accord):
-    """Passes over what others have accepted."""
+class IgnoresAcceptedValues(Accord):
+    """Defect: ignores values that other voters have already accepted."""
 
     def promised(self, now: float, ballot: Ballot, voter: int, accepted: int, digest: bytes) -> None:
         super().promised(now, ballot, voter, 0, digest)
 
 
-class DecidesAlone(Accord):
-    """Takes one vote for a decision."""
+class DecidesOnOneVote(Accord):
+    """Defect: treats a single vote as a decision."""
 
     def voted(self, now: float, ballot: Ballot, voter: int) -> None:
         self.learn(now, ballot.slot, ballot.value, self.number)
 
 
-MISTAKES: dict[type[Accord], tuple[str, ...]] = {
-    VotesAfterAnEmptyStart: ("0 proposes, 2 is alone", "1 is killed, 0 is alone"),
-    ForgetsItsFence: ("0 hears no asks", "1 is killed for a moment", "0 proposes, 2 is alone, a moment"),
-    DoesNotLookAtItsLease: ("1 proposes, 2 is alone", "well"),
-    TakesHoldBeforeLeasesEnd: ("1 proposes, 2 is alone", "well"),
-    ProposesItsOwn: ("0 proposes, only 1 votes and is heard later", "2 proposes, 0 is alone"),
-    DecidesAlone: ("0 proposes, nobody votes nor hears of it", "2 proposes, 0 is alone"),
+DEFECTIVE_CORES: dict[type[Accord], tuple[str, ...]] = {
+    VotesAfterEmptyRestart: ("0 proposes, 2 is alone", "1 is killed, 0 is alone"),
+    SkipsRestartFence: ("0 hears no asks", "1 is killed for a moment", "0 proposes, 2 is alone, a moment"),
+    IgnoresLeaseExpiry: ("1 proposes, 2 is alone", "well"),
+    DoesNotWaitForEarlierLeases: ("1 proposes, 2 is alone", "well"),
+    IgnoresAcceptedValues: ("0 proposes, only 1 votes and is heard later", "2 proposes, 0 is alone"),
+    DecidesOnOneVote: ("0 proposes, nobody votes nor hears of it", "2 proposes, 0 is alone"),
 }
 
 
-class Exhaustive(unittest.TestCase):
-    """Every sequence of troubles to a bounded depth, and cores with mistakes put in."""
+class ExhaustiveSearch(unittest.TestCase):
+    """Search over every fault sequence of a bounded length, with the correct core and with defective ones."""
 
-    def test_no_sequence_of_two_turns_breaks_a_rule(self) -> None:
+    def test_no_sequence_of_two_turns_violates_an_invariant(self) -> None:
         for disk in (False, True):
-            some = TURNS if not disk else [turn for turn in TURNS if "killed" in turn.name or turn.propose]
-            found = explore(1 if disk else 2, disk=disk, turns=some)
-            self.assertEqual(found.broken, [])
+            turns_used = TURNS if not disk else [turn for turn in TURNS if "killed" in turn.name or turn.propose]
+            result = explore(1 if disk else 2, disk=disk, turns=turns_used)
+            self.assertEqual(result.broken, [])
         self.assertEqual(explore(1).paths, len(TURNS))
 
-    def test_mistakes_put_in_on_purpose_are_found(self) -> None:
-        for mistaken, names in MISTAKES.items():
-            some = [turn for turn in TURNS if turn.name in names]
-            self.assertEqual(len(some), len(names))
-            self.assertEqual(explore(3, turns=some).broken, [], mistaken.__name__)
-            found = explore(3, mistaken, turns=some).broken
-            self.assertTrue(any("admitted" in one or "history" in one for one in found), mistaken.__name__)
+    def test_search_detects_each_seeded_defect(self) -> None:
+        for defective, names in DEFECTIVE_CORES.items():
+            turns_used = [turn for turn in TURNS if turn.name in names]
+            self.assertEqual(len(turns_used), len(names))
+            self.assertEqual(explore(3, turns=turns_used).broken, [], defective.__name__)
+            violations = explore(3, defective, turns=turns_used).broken
+            self.assertTrue(
+                any("admitted" in violation or "history" in violation for violation in violations), defective.__name__
+            )
 
 
-class Machine(RuleBasedStateMachine):
-    """Five gateways, struck at random."""
+class PolicyChangeMachine(RuleBasedStateMachine):
+    """Five gateways under random kills, pauses, partitions, message faults and proposals."""
 
     @initialize(disk=st.booleans())
-    def begin(self, disk: bool) -> None:
-        self.world = settled(Accord, disk, FIVE)
-        self.empty = self.made = 0
+    def create_world(self, disk: bool) -> None:
+        self.world = settled(Accord, disk, FIVE_MEMBERS)
+        self.restarts = self.proposal_count = 0
 
     @rule(number=st.integers(0, 4), good=st.booleans())
     def propose(self, number: int, good: bool) -> None:
         core = self.world.cores[number]
-        self.made += 1  # each its own: one gateway's refusal of a document says nothing of another operator's
-        event = Propose(b"%s %d" % (b"doc" if good else b"bad", self.made), core.known.version)
+        self.proposal_count += 1  # documents are unique, so that a rejection of one cannot affect another proposal
+        event = Propose(b"%s %d" % (b"doc" if good else b"bad", self.proposal_count), core.known.version)
         self.world.carry(number, core.handle(self.world.clock(number), event), Turn("well"))
 
     @rule(number=st.integers(0, 4), disk=st.booleans())
     def kill(self, number: int, disk: bool) -> None:
-        if self.world.disk or self.empty < 2:
-            self.empty += 1
+        if self.world.disk or self.restarts < 2:
+            self.restarts += 1
             self.world.held.pop(number, None)
             self.world.still.discard(number)
             self.world.start(number)
@@ -707,20 +728,22 @@
             self.world.still.add(number)
 
     @rule()
-    def go_on(self) -> None:
+    def resume_all(self) -> None:
         self.world.still.clear()
 
     @rule(
         steps=st.integers(1, 40),
-        carry=st.sampled_from(["well", "odd", "late", "twice", "lost"]),
-        side=st.sets(st.integers(0, 4), max_size=2),
+        delivery=st.sampled_from(["well", "odd", "late", "twice", "lost"]),
+        minority=st.sets(st.integers(0, 4), max_size=2),
     )
-    def pass_time(self, steps: int, carry: str, side: set[int]) -> None:
-        rest = tuple(number for number in range(5) if number not in side)
-        self.world.take(Turn("", carry, between(tuple(side), rest) if side else frozenset(), steps=steps))
+    def pass_time(self, steps: int, delivery: str, minority: set[int]) -> None:
+        majority = tuple(number for number in range(5) if number not in minority)
+        self.world.take(
+            Turn("", delivery, cut_between(tuple(minority), majority) if minority else frozenset(), steps=steps)
+        )
 
     @invariant()
-    def nothing_is_wrong(self) -> None:
+    def no_invariant_is_violated(self) -> None:
         if hasattr(self, "world"):
             assert self.world.wrong() == []
 
@@ -728,16 +751,16 @@
         if hasattr(self, "world"):
             self.world.still.clear()
             for _ in range(10):
-                self.world.take(CALM)
+                self.world.take(NO_FAULTS)
             assert self.world.wrong() == []
 
 
-class Stateful(unittest.TestCase):
-    """Hypothesis at five gateways."""
+class StatefulSearch(unittest.TestCase):
+    """Runs the Hypothesis state machine."""
 
-    def test_five_gateways_struck_at_random(self) -> None:
+    def test_five_gateways_under_random_faults(self) -> None:
         run_state_machine_as_test(
-            Machine,
+            PolicyChangeMachine,
             settings=settings(
                 max_examples=25,
                 stateful_step_count=15,
@@ -749,215 +772,228 @@
         )
 
 
-class Judged(unittest.TestCase):
-    """The judge, with false histories."""
+class JudgeVerdicts(unittest.TestCase):
+    """The drill's judge, given histories with known violations."""
 
-    def test_each_kind_of_wrong_is_seen_and_nothing_else(self) -> None:
+    def test_judge_reports_each_kind_of_violation_and_no_others(self) -> None:
         def record(*admitted: Admitted, claims: tuple[Claim, ...] = ()) -> Record:
             return Record(1.0, list(admitted), list(claims))
 
-        well = (
+        correct_history = (
             Admitted(0.0, 0, 1, "a"),
             Admitted(5.0, 1, 2, "b", either=True),
             Admitted(6.0, 1, 1, "a"),
             Admitted(9.0, 0, 2, "b"),
             Admitted(9.5, 1, 1, "a"),
         )
-        verdict = record(*well, claims=(Claim(9.0, 2, "b", "in force"), Claim(9.0, 3, "c", "nowhere"))).judge()
+        verdict = record(
+            *correct_history, claims=(Claim(9.0, 2, "b", "in force"), Claim(9.0, 3, "c", "nowhere"))
+        ).judge()
         self.assertEqual((verdict.mixed, verdict.lost_changes, verdict.wrong_answers), (0, 0, 0))
-        self.assertEqual(record(*well, Admitted(11.0, 2, 1, "a")).judge().mixed, 1)
-        self.assertEqual(record(*well, Admitted(11.0, 2, 2, "x")).judge().mixed, 1)
-        self.assertEqual(record(*well, claims=(Claim(1.0, 3, "c", "in force"),)).judge().lost_changes, 1)
-        self.assertEqual(record(*well, claims=(Claim(1.0, 2, "b", "in force"),)).judge().lost_changes, 1)
-        self.assertEqual(record(*well, claims=(Claim(1.0, 2, "b", "nowhere"),)).judge().wrong_answers, 1)
+        self.assertEqual(record(*correct_history, Admitted(11.0, 2, 1, "a")).judge().mixed, 1)
+        self.assertEqual(record(*correct_history, Admitted(11.0, 2, 2, "x")).judge().mixed, 1)
+        self.assertEqual(record(*correct_history, claims=(Claim(1.0, 3, "c", "in force"),)).judge().lost_changes, 1)
+        self.assertEqual(record(*correct_history, claims=(Claim(1.0, 2, "b", "in force"),)).judge().lost_changes, 1)
+        self.assertEqual(record(*correct_history, claims=(Claim(1.0, 2, "b", "nowhere"),)).judge().wrong_answers, 1)
 
 
-class Held:
-    """Whoever knows whether the policy holds, by a script."""
+class ScriptedPolicyGate:
+    """Stand-in for the policy gate whose ``holds`` answers follow a script; the last answer repeats."""
 
-    def __init__(self, *holds: bool) -> None:
-        self.epoch, self.holds_now, self.let_in, self.near_ms = 1, list(holds), 0, 0.0
-        self.woken: list[Any] = []
+    def __init__(self, *answers: bool) -> None:
+        self.epoch, self.scripted_answers, self.admitted_count, self.wait_ms = 1, list(answers), 0, 0.0
+        self.callbacks: list[Any] = []
 
     def holds(self, epoch: int | None = None) -> bool:
-        now = self.holds_now.pop(0) if len(self.holds_now) > 1 else self.holds_now[0]
-        return now and epoch in (None, self.epoch)
+        held = self.scripted_answers.pop(0) if len(self.scripted_answers) > 1 else self.scripted_answers[0]
+        return held and epoch in (None, self.epoch)
 
     def worth_waiting(self) -> float:
-        return self.near_ms
+        return self.wait_ms
 
     def wait(self, wake: Any, off: bool = False) -> None:
-        self.woken = [one for one in self.woken if one is not wake] + [wake] * (not off)
+        self.callbacks = [callback for callback in self.callbacks if callback is not wake] + [wake] * (not off)
 
     def admitted(self, request: Request) -> None:
-        self.let_in += 1
+        self.admitted_count += 1
 
 
-class Folder(unittest.TestCase):
-    """What a voter keeps, and that one process of a member votes at a time."""
+class VoterFolder(unittest.TestCase):
+    """A voter's persistent state, and the lock that lets only one process of a member vote."""
 
-    def part(self, folder: str, number: int = 1) -> Any:
+    def consensus(self, folder: str, number: int = 1) -> Any:
         return SimpleNamespace(
             lock_folder=folder,
             name="n1",
             number=number,
-            settings=Accorded(folder=folder),
+            settings=AccordSettings(folder=folder),
             lock_fd=None,
             path=os.path.join(folder, f"policy-{number}"),
             log=lambda text: None,
         )
 
-    def test_a_second_process_votes_only_once_the_first_has_let_go(self) -> None:
+    def test_second_process_gets_the_voter_lock_only_after_the_first_releases_it(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            first, second = self.part(folder), self.part(folder)
+            first, second = self.consensus(folder), self.consensus(folder)
             self.assertTrue(PolicyConsensus.acquire_lock(first))
             self.assertFalse(PolicyConsensus.acquire_lock(second))
             os.close(first.lock_fd)
             self.assertTrue(PolicyConsensus.acquire_lock(second))
             os.close(second.lock_fd)
 
-    def test_what_was_kept_is_found_and_what_is_spoilt_or_anothers_is_not(self) -> None:
+    def test_saved_state_is_loaded_unless_corrupted_or_of_another_member(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             memory = Memory(3, digest_of(b"three"), 9, 9, digest_of(b"four"))
-            self.assertTrue(PolicyConsensus.save(self.part(folder), Keep(memory, (b"three", b"four"))))
-            kept = PolicyConsensus.load(self.part(folder))
-            assert kept is not None
-            self.assertEqual((kept.memory, kept.documents), (memory, (b"three", b"four")))
+            self.assertTrue(PolicyConsensus.save(self.consensus(folder), Keep(memory, (b"three", b"four"))))
+            loaded = PolicyConsensus.load(self.consensus(folder))
+            assert loaded is not None
+            self.assertEqual((loaded.memory, loaded.documents), (memory, (b"three", b"four")))
             with open(os.path.join(folder, "policy-1"), "rb") as file:
                 data = file.read()
             for name, content in (("policy-1", data[:-1] + b"x"), ("policy-1", b""), ("policy-2", data)):
                 with open(os.path.join(folder, name), "wb") as file:
                     file.write(content)
-                self.assertIsNone(PolicyConsensus.load(self.part(folder, int(name[-1]))))
-            self.assertFalse(PolicyConsensus.save(self.part(os.path.join(folder, "none")), Keep(memory, ())))
+                self.assertIsNone(PolicyConsensus.load(self.consensus(folder, int(name[-1]))))
+            self.assertFalse(PolicyConsensus.save(self.consensus(os.path.join(folder, "none")), Keep(memory, ())))
 
 
-class Decided(unittest.TestCase):
-    """A request meets the policy where it is decided on."""
+class RequestsUnderLease(unittest.TestCase):
+    """Requests are answered only while the gateway holds a lease on the policy they were decided under."""
 
-    def live(self, held: Held, order: Any, meanwhile: Any = None) -> tuple[Any, list[api.Event]]:
-        """Live a request's life, with a module that says one thing."""
-        loop, told, ended = Loop(print), list[api.Event](), list[Any]()
+    def run_request(
+        self, gate: ScriptedPolicyGate, action: Any, after_delivery: Any = None
+    ) -> tuple[Any, list[api.Event]]:
+        """Run one request against a module that decides on one action; return the answer and the module's events."""
+        loop, events, answers = Loop(print), list[api.Event](), list[Any]()
         request_handler = RequestHandler(loop, lambda event: None, None, Counts(), 700.0)  # type: ignore[arg-type]
-        request_handler.policy_gate = held
+        request_handler.policy_gate = gate
 
-        def tell(event: api.Event) -> None:
-            told.append(event)
+        def notify(event: api.Event) -> None:
+            events.append(event)
             if isinstance(event, api.Arrival):
-                request_handler.deliver(order)
-                if meanwhile is not None:
-                    meanwhile()
+                request_handler.deliver(action)
+                if after_delivery is not None:
+                    after_delivery()
 
-        request_handler.tell = tell
+        request_handler.tell = notify
 
-        class Stays:
+        class ConnectedCaller:
             gone = False
 
-        def task() -> Any:
-            ended.append((yield from request_handler.serve(Request(0, 0, "c", 400.0, 1.0, 1, False, None), Stays())))
+        def serve_request() -> Any:
+            answers.append(
+                (yield from request_handler.serve(Request(0, 0, "c", 400.0, 1.0, 1, False, None), ConnectedCaller()))
+            )
             loop.stop()
 
-        loop.spawn(task())
+        loop.spawn(serve_request())
         loop.run()
-        return ended[0], told
+        return answers[0], events
 
-    def test_what_was_decided_under_a_lease_that_is_gone_is_not_sent_and_the_module_told_so(self) -> None:
-        answer, told = self.live(Held(True, False), api.Send(1, "s1"))
+    def test_send_decided_under_an_expired_lease_is_dropped_and_reported_to_the_module(self) -> None:
+        answer, events = self.run_request(ScriptedPolicyGate(True, False), api.Send(1, "s1"))
         self.assertEqual(answer, Unsure(500.0))
-        self.assertEqual([type(event) for event in told], [api.Arrival, api.Outcome])
-        moot = told[1]
-        assert isinstance(moot, api.Outcome)
-        self.assertEqual((moot.ending, moot.finished), (api.Ending.MOOT, True))
+        self.assertEqual([type(event) for event in events], [api.Arrival, api.Outcome])
+        outcome = events[1]
+        assert isinstance(outcome, api.Outcome)
+        self.assertEqual((outcome.ending, outcome.finished), (api.Ending.MOOT, True))
 
-    def test_a_refusal_under_a_lease_that_is_gone_is_not_said_either(self) -> None:
-        self.assertEqual(self.live(Held(True, False), api.Refuse(1, 9.0, "quota"))[0], Unsure(500.0))
-        self.assertEqual(self.live(Held(True), api.Refuse(1, 9.0, "quota"))[0], Refused(9.0))
+    def test_refusal_decided_under_an_expired_lease_is_not_returned(self) -> None:
+        self.assertEqual(
+            self.run_request(ScriptedPolicyGate(True, False), api.Refuse(1, 9.0, "quota"))[0], Unsure(500.0)
+        )
+        self.assertEqual(self.run_request(ScriptedPolicyGate(True), api.Refuse(1, 9.0, "quota"))[0], Refused(9.0))
 
-    def test_a_decision_under_a_version_that_has_gone_since_is_not_carried_out(self) -> None:
-        held = Held(True)
-        answer, _ = self.live(held, api.Send(1, "s1"), lambda: setattr(held, "epoch", 2))
-        self.assertEqual((answer, held.let_in), (Unsure(500.0), 0))
+    def test_decision_under_a_replaced_version_is_not_carried_out(self) -> None:
+        gate = ScriptedPolicyGate(True)
+        answer, _ = self.run_request(gate, api.Send(1, "s1"), lambda: setattr(gate, "epoch", 2))
+        self.assertEqual((answer, gate.admitted_count), (Unsure(500.0), 0))
 
-    def test_without_a_lease_nothing_is_told_to_the_module_and_what_is_near_is_waited_for(self) -> None:
-        answer, told = self.live(Held(False), api.Refuse(1, 9.0))
-        self.assertEqual((answer, told), (Unsure(500.0), []))
-        held = Held(False, False, False, True)
-        held.near_ms = 1.0  # looked at again when that is over
-        answer, told = self.live(held, api.Refuse(1, 9.0))
-        self.assertEqual((answer, held.woken), (Refused(9.0), []))
+    def test_without_a_lease_the_module_gets_no_event_and_a_lease_expected_soon_is_awaited(self) -> None:
+        answer, events = self.run_request(ScriptedPolicyGate(False), api.Refuse(1, 9.0))
+        self.assertEqual((answer, events), (Unsure(500.0), []))
+        gate = ScriptedPolicyGate(False, False, False, True)
+        gate.wait_ms = 1.0  # the gate is asked again after this time
+        answer, events = self.run_request(gate, api.Refuse(1, 9.0))
+        self.assertEqual((answer, gate.callbacks), (Refused(9.0), []))
 
 
-class Operated(RealWorld):
-    """Three gateways, and operators at the command line once the crowd has asked."""
+class OperatorWorld(RealWorld):
+    """Three gateways under load, and a session of `petrelhall policy` commands before they end."""
 
     def __init__(self, setup: Setup) -> None:
         super().__init__(setup)
-        self.told: dict[str, Any] = {}
-        self.lines: list[str] = []
+        self.results: dict[str, Any] = {}
+        self.log_lines: list[str] = []
 
     def heard(self, gateway: GatewayProcess, lines: list[str]) -> None:
-        self.lines += lines
+        self.log_lines += lines
 
-    def call(self, name: str, *arguments: str, exit_code: int = 0) -> str:
+    def run_command(self, name: str, *arguments: str, exit_code: int = 0) -> str:
         result = CliRunner().invoke(main, ["policy", *arguments])
-        self.told[name] = result.exit_code, exit_code, result.output
+        self.results[name] = result.exit_code, exit_code, result.output
         return result.output
 
     async def last(self) -> None:
-        await asyncio.to_thread(self.operate)
+        await asyncio.to_thread(self.run_operator_session)
 
-    def operate(self) -> None:
-        every = [gateway.mgmt for gateway in self.gateways]
-        new, bad = (os.path.join(os.path.dirname(self.setup.operator), name) for name in ("new.json", "bad.json"))
-        for path, plan in ((new, "district"), (bad, "nobody")):
+    def run_operator_session(self) -> None:
+        addresses = [gateway.mgmt for gateway in self.gateways]
+        valid_path, rejected_path = (
+            os.path.join(os.path.dirname(self.setup.operator), name) for name in ("new.json", "bad.json")
+        )
+        for path, plan in ((valid_path, "district"), (rejected_path, "nobody")):
             with open(path, "w") as file:
                 json.dump({"plans": {plan: {"rate": 77.0, "burst": 5.0}}}, file)
-        self.call("show", "show", *every)
-        told = json.loads(self.call("propose", "propose", new, *every, "--wait", "10", "--json"))
-        self.told["asked"] = told
-        self.call("refused", "propose", bad, *every, "--wait", "10", exit_code=1)
-        with open(new, "w") as file:
+        self.run_command("show", "show", *addresses)
+        proposed = json.loads(self.run_command("propose", "propose", valid_path, *addresses, "--wait", "10", "--json"))
+        self.results["proposed"] = proposed
+        self.run_command("refused", "propose", rejected_path, *addresses, "--wait", "10", exit_code=1)
+        with open(valid_path, "w") as file:
             json.dump({"plans": {"district": {"rate": 78.0}}}, file)
-        self.call("outdated", "propose", new, *every, "--base", "0", "--wait", "10", exit_code=1)
-        self.call("status", "status", told["digest"], *every)
-        self.call("unknown", "status", "0" * 32, *every, exit_code=3)
-        self.call("abort", "abort", "0" * 32, *every, exit_code=3)
-        self.call("history", "history", *every)
-        view = json.loads(self.call("json", "show", *every, "--json"))["views"][2]
-        self.told["document"] = view["document"], view["version"]
+        self.run_command("outdated", "propose", valid_path, *addresses, "--base", "0", "--wait", "10", exit_code=1)
+        self.run_command("status", "status", proposed["digest"], *addresses)
+        self.run_command("unknown", "status", "0" * 32, *addresses, exit_code=3)
+        self.run_command("abort", "abort", "0" * 32, *addresses, exit_code=3)
+        self.run_command("history", "history", *addresses)
+        view = json.loads(self.run_command("json", "show", *addresses, "--json"))["views"][2]
+        self.results["document"] = view["document"], view["version"]
         with open(self.setup.operator, "w") as file:
             json.dump({"accord": {"on": True}, "shared": {"plans": {"district": {"rate": 1.0}}}}, file)
         for gateway in self.gateways:
             assert gateway.process is not None
             gateway.process.send_signal(signal.SIGHUP)
-        self.call("back", "back", *every, "--wait", "10")
+        self.run_command("back", "back", *addresses, "--wait", "10")
         for gateway in self.gateways:
             self.heard(gateway, gateway.read_log())
-        self.told["after"] = json.loads(self.call("json", "show", *every, "--json"))["views"][0]["document"]
+        self.results["after"] = json.loads(self.run_command("json", "show", *addresses, "--json"))["views"][0][
+            "document"
+        ]
 
 
-class Operators(unittest.TestCase):
-    """The command line against real gateways."""
+class OperatorCommands(unittest.TestCase):
+    """The policy commands of the command line against real gateways."""
 
-    def test_a_change_is_proposed_followed_refused_and_taken_back_and_sighup_changes_nothing_of_it(self) -> None:
+    def test_policy_commands_propose_follow_reject_and_roll_back_and_sighup_changes_no_shared_setting(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "operator.json")
             with open(path, "w") as file:
                 json.dump({"accord": {"on": True}}, file)
-            world = Operated(Setup(1.0, 2, 3, Demand(rate=30.0, clients=8), operator=path))
+            world = OperatorWorld(Setup(1.0, 2, 3, Demand(rate=30.0, clients=8), operator=path))
             report = asyncio.run(world.run())
-        for name, value in world.told.items():
+        for name, value in world.results.items():
             if isinstance(value, tuple) and len(value) == 3:
                 self.assertEqual(value[0], value[1], f"{name}: {value[2]}")
-        self.assertEqual(world.told["asked"]["state"], "in force")
-        self.assertEqual(world.told["document"], ({"plans": {"district": {"rate": 77.0, "burst": 5.0}}}, 1))
-        self.assertEqual(world.told["after"], {})  # not what the file says by now
-        self.assertIn("no such plan", world.told["refused"][2])
-        self.assertIn("made for version 0", world.told["outdated"][2])
-        self.assertTrue(any("can only be changed by `petrelhall policy propose`" in line for line in world.lines))
+        self.assertEqual(world.results["proposed"]["state"], "in force")
+        self.assertEqual(world.results["document"], ({"plans": {"district": {"rate": 77.0, "burst": 5.0}}}, 1))
+        # The rollback still holds; SIGHUP did not apply the shared part of the changed operator file.
+        self.assertEqual(world.results["after"], {})
+        self.assertIn("no such plan", world.results["refused"][2])
+        self.assertIn("made for version 0", world.results["outdated"][2])
+        self.assertTrue(any("can only be changed by `petrelhall policy propose`" in line for line in world.log_lines))
         self.assertEqual((report["lost"], report["exit_codes"]), (0, [0, 0, 0]))
 
-    def test_calls_in_bad_form_and_gateways_where_it_is_off_are_told(self) -> None:
+    def test_control_calls_are_parsed_and_malformed_ones_get_an_error_status(self) -> None:
         self.assertEqual(read_call(b"POST", b"/control/policy?base=3"), Call(policy=Policy("propose", 3)))
         self.assertEqual(read_call(b"POST", b"/control/policy/settle"), Call(policy=Policy("settle")))
         for target, status in (
@@ -969,20 +1005,20 @@
         self.assertEqual(getattr(read_call(b"PUT", b"/control/policy"), "status", None), 405)
 
 
-class SharedPart(unittest.TestCase):
-    """The shared part: what it makes of settings, what refuses it, what customers keep."""
+class SharedSettings(unittest.TestCase):
+    """Shared settings: validation, the plans and deadlines they yield, and customers' token buckets after a change."""
 
     def setUp(self) -> None:
-        self.settings = read_settings(platform(3, 0, 1500.0))
+        self.settings = read_settings(gateway_settings(3, 0, 1500.0))
         self.names = ("district", "large-district"), ("view-schedule", "enroll-change")
 
-    def refused(self, value: Any, file: File | None = None) -> str:
-        shared = shared_of(json.dumps(value).encode())
+    def rejection(self, value: Any, file: File | None = None) -> str:
+        shared = decode_shared(json.dumps(value).encode())
         return refused(shared, file or File(), self.settings, *self.names)
 
-    def test_contradictions_are_named_by_field_value_and_reason(self) -> None:
-        self.assertEqual(self.refused({"plans": {"district": {"rate": 50.0, "burst": 70.0}}}), "")
-        for value, words_ in (
+    def test_invalid_settings_are_reported_by_field_value_and_reason(self) -> None:
+        self.assertEqual(self.rejection({"plans": {"district": {"rate": 50.0, "burst": 70.0}}}), "")
+        for value, expected in (
             ({"plans": {"nobody": {}}}, "plans.nobody: no such plan"),
             ({"plans": {"district": {"burst": 0.5}}}, "plans.district.burst: 0.5"),
             ({"plans": {"large-district": {"ceiling_rate": 10.0}}}, "plans.large-district.ceiling_rate: 10"),
@@ -991,21 +1027,23 @@
             ({"classes": {"view-schedule": {"deadline_ms": 9.0}}}, "classes.view-schedule.deadline_ms: 9"),
             ({"move": {"name": "m", "source": "a", "target": "b"}}, "move: this gateway's file has no pools"),
         ):
-            self.assertIn(words_, self.refused(value))
+            self.assertIn(expected, self.rejection(value))
         with self.assertRaisesRegex(OperatorError, r"plans\[...\].rat: unknown; did you mean 'rate'"):
-            shared_of(b'{"plans": {"district": {"rat": 1}}}')
+            decode_shared(b'{"plans": {"district": {"rat": 1}}}')
         self.assertEqual(
-            encode_shared(shared_of(b'{"plans": {"b": {"rate": 2.0}, "a": {}}, "classes": {}}')),
-            encode_shared(shared_of(b'{"plans": {"a": {}, "b": {"rate": 2.0}}}')),
+            encode_shared(decode_shared(b'{"plans": {"b": {"rate": 2.0}, "a": {}}, "classes": {}}')),
+            encode_shared(decode_shared(b'{"plans": {"a": {}, "b": {"rate": 2.0}}}')),
         )
 
-    def test_the_stricter_of_two_keeps_within_both_and_a_move_holds_where_they_differ(self) -> None:
-        one = plans_of(shared_of(b'{"plans": {"district": {"rate": 50, "burst": 30}}}'), self.settings, self.names[0])
+    def test_strictest_of_two_respects_both_and_a_move_pauses_where_they_differ(self) -> None:
+        one = plans_of(
+            decode_shared(b'{"plans": {"district": {"rate": 50, "burst": 30}}}'), self.settings, self.names[0]
+        )
         other = plans_of(
-            shared_of(b'{"plans": {"district": {"rate": 20, "max_open": 3}}}'), self.settings, self.names[0]
+            decode_shared(b'{"plans": {"district": {"rate": 20, "max_open": 3}}}'), self.settings, self.names[0]
         )
-        least = strictest(one, other)[0]
-        self.assertEqual((least.rate, least.burst, least.max_open), (20.0, 30.0, 3))
+        merged = strictest(one, other)[0]
+        self.assertEqual((merged.rate, merged.burst, merged.max_open), (20.0, 30.0, 3))
         pools = (Pool("a", kind="m1"), Pool("b", kind="m2"))
         file = File(shift=Shift(pools))
         moved = Shared(move=Move("m", "a", "b"))
@@ -1013,32 +1051,32 @@
         self.assertEqual(shift_of(moved, Shared(), file).move.order, "pause")  # type: ignore[union-attr]
         self.assertEqual(
             deadlines_of(
-                shared_of(b'{"classes": {"view-schedule": {"deadline_ms": 900}}}'), self.settings, self.names[1]
+                decode_shared(b'{"classes": {"view-schedule": {"deadline_ms": 900}}}'), self.settings, self.names[1]
             ),
             (900.0, 1500.0),
         )
 
-    def test_a_smaller_burst_cuts_a_store_and_a_larger_one_never_refills_it(self) -> None:
+    def test_smaller_burst_trims_a_token_bucket_and_a_larger_one_never_refills_it(self) -> None:
         module = Gateway(self.settings, 1)
         module.handle(0.0, api.Started())
         module.handle(10.0, api.Arrival(1, 0, 0, "c", 1000.0, 1.0, 1))
         customer = module.customers["c"]
-        before, kept = self.settings.plans, customer.shared_bucket
+        before, initial_bucket = self.settings.plans, customer.shared_bucket
         for burst, left in ((30.0, 30.0), (90.0, 30.0)):
             after = (dataclasses.replace(before[0], burst=burst), before[1])
             replan(module, before, after, 20.0)
             before = after
-            self.assertEqual((customer.plan, min(customer.shared_bucket, kept)), (after[0], left))
-        ceiled = (dataclasses.replace(before[0], ceiling_rate=100.0, ceiling_burst=100.0), before[1])
-        replan(module, before, ceiled, 30.0)
-        self.assertEqual(customer.ceiling_bucket, 0.0)  # a ceiling that was not there begins spent
+            self.assertEqual((customer.plan, min(customer.shared_bucket, initial_bucket)), (after[0], left))
+        with_ceiling = (dataclasses.replace(before[0], ceiling_rate=100.0, ceiling_burst=100.0), before[1])
+        replan(module, before, with_ceiling, 30.0)
+        self.assertEqual(customer.ceiling_bucket, 0.0)  # the bucket of a newly added ceiling starts empty
         share = Share(Terms(40.0, 60.0, 4), -1e6, 0.0)
         for burst, left in ((20.0, 5.0), (80.0, 5.0)):
             share.change(Terms(40.0, burst, 4), 0.0)
             self.assertEqual(share.available(0.0), left)
 
 
-PLAY = Play(
+FAULT_SCRIPT = Play(
     strikes=(
         Strike(4.0, "kill", (1,), 1.0),
         Strike(7.0, "cut", (2, 3), 3.0, (0, 1, 4)),
@@ -1048,15 +1086,15 @@
 )
 
 
-class Real(unittest.TestCase):
-    """Real processes: the short form of the drill, one script, so that its verdict is the same every time."""
+class RealProcesses(unittest.TestCase):
+    """A short drill with real processes; a fixed fault script keeps its verdict reproducible."""
 
-    def test_changes_under_a_kill_a_cut_a_stop_and_an_upgrade_are_never_mixed_lost_or_unknown(self) -> None:
+    def test_changes_under_kill_partition_pause_and_upgrade_are_never_mixed_lost_or_unknown(self) -> None:
         for unsure in ("refuse", "strictest"):
             with tempfile.TemporaryDirectory() as folder:
                 script, out = os.path.join(folder, "script.json"), os.path.join(folder, "out.json")
                 with open(script, "wb") as file:
-                    file.write(msgspec.json.encode(PLAY))
+                    file.write(msgspec.json.encode(FAULT_SCRIPT))
                 result = CliRunner().invoke(
                     main,
                     [
