--- a/benchmarks/accord_cost.py
+++ b/benchmarks/accord_cost.py
@@ -14,7 +14,7 @@
 import socket
 import time
 
-from petrelhall.accord.core import Accord, Heard, Send, Tick
+from petrelhall.accord.core import Accord, MessageReceived, Send, Tick
 from petrelhall.accord.plan import pace
 from petrelhall.emulate.accord import TICK_MS, Cores
 from petrelhall.emulate.fabric import Fabric, Links
@@ -52,7 +52,7 @@
             one.sendto(content, other.getsockname())  # the network's work: not counted
             start = time.process_time()
             content, _ = other.recvfrom(257)
-            actions += core.handle(when, Heard(sender, content))
+            actions += core.handle(when, MessageReceived(sender, content))
             spent += time.process_time() - start
         start = time.process_time()
         for action in [*actions, *core.handle(at, Tick())]:
--- a/benchmarks/members_cost.py
+++ b/benchmarks/members_cost.py
@@ -15,7 +15,7 @@
 
 from petrelhall.emulate.fabric import Links
 from petrelhall.emulate.members import Scene
-from petrelhall.members.core import Heard, Members, Send, Tick
+from petrelhall.members.core import Members, MessageReceived, Send, Tick
 from petrelhall.members.plan import LOOK_MS
 
 TRY_MS = 1.0
@@ -49,7 +49,7 @@
             one.sendto(content, other.getsockname())  # the network's work: not counted
             start = time.process_time()
             content, _ = other.recvfrom(257)
-            actions += core.handle(when, Heard(sender, content))
+            actions += core.handle(when, MessageReceived(sender, content))
             spent += time.process_time() - start
         start = time.process_time()
         for action in [*actions, *core.handle(at, Tick())]:
--- a/benchmarks/scale/subjects/accord.py
+++ b/benchmarks/scale/subjects/accord.py
@@ -9,7 +9,7 @@
 from benchmarks.scale.installation import PEER_MESSAGES_PER_S
 from benchmarks.scale.replay import Datagram, Load, replay
 from benchmarks.scale.sampling import MEBIBYTE, Effort, Samples, held_bytes
-from petrelhall.accord.core import Accord, Action, Heard, Send, Tick
+from petrelhall.accord.core import Accord, Action, MessageReceived, Send, Tick
 from petrelhall.accord.plan import Pace, pace
 from petrelhall.capacity.records import Slope
 from petrelhall.emulate.accord import FILE, TICK_MS, Cores, anything
@@ -122,7 +122,7 @@
         core = copy.deepcopy(self.core)
 
         def hear(now: float, sender: int, content: bytes) -> list[bytes]:
-            return sent(core.handle(now, Heard(sender, content)))
+            return sent(core.handle(now, MessageReceived(sender, content)))
 
         def tick(now: float) -> list[bytes]:
             return sent(core.handle(now, Tick()))
--- a/benchmarks/scale/subjects/members.py
+++ b/benchmarks/scale/subjects/members.py
@@ -10,7 +10,7 @@
 from benchmarks.scale.replay import Datagram, Load, replay
 from benchmarks.scale.sampling import MEBIBYTE, Effort, Samples, held_bytes
 from petrelhall.capacity.records import Slope
-from petrelhall.members.core import Action, Heard, Members, Send, Tick
+from petrelhall.members.core import Action, Members, MessageReceived, Send, Tick
 from petrelhall.members.plan import LOOK_MS, Pace, pace
 
 SHARE, LATE_MS = 0.1, 300.0  # of the messages; longest time that a message takes: the defaults of the operators' file
@@ -106,7 +106,7 @@
         for content in sent(core_of(number, gateways).handle(now, Tick())):
             for listener in listeners:
                 if listener.number != number:
-                    listener.handle(now, Heard(number, content))
+                    listener.handle(now, MessageReceived(number, content))
 
 
 @dataclass
@@ -123,7 +123,7 @@
         core = copy.deepcopy(self.core)
 
         def hear(now: float, sender: int, content: bytes) -> list[bytes]:
-            return sent(core.handle(now, Heard(sender, content)))
+            return sent(core.handle(now, MessageReceived(sender, content)))
 
         def tick(now: float) -> list[bytes]:
             return sent(core.handle(now, Tick()))
--- a/petrelhall/accord/change.py
+++ b/petrelhall/accord/change.py
@@ -18,25 +18,25 @@
 
     slot: int
     number: int
-    began: float
+    started_at: float
     own: bytes  # what is proposed where nothing was accepted before
     promises: dict[int, tuple[int, bytes]] = field(default_factory=dict)
     value: bytes = b""  # proposed, once a majority has promised
     votes: set[int] = field(default_factory=set)
-    asked: float = float("-inf")  # when the last message of it went out
+    last_sent_at: float = float("-inf")  # when the last message of it went out
 
-    def open(self, now: float, pace: Pace) -> bool:
+    def is_open(self, now: float, pace: Pace) -> bool:
         """Tell whether its votes still count."""
-        return now - self.began <= pace.ballot_ms
+        return now - self.started_at <= pace.ballot_ms
 
-    def promised(self, voter: int, accepted: int, digest: bytes, pace: Pace) -> None:
+    def add_promise(self, voter: int, accepted: int, digest: bytes, pace: Pace) -> None:
         """Hear a promise; with a majority of them the value is settled: the latest accepted, or our own."""
         self.promises[voter] = accepted, digest
         if not self.value and len(self.promises) >= pace.majority:
             latest, value = max(self.promises.values())
             self.value = value if latest else self.own
 
-    def voted(self, voter: int, pace: Pace) -> bool:
+    def add_vote(self, voter: int, pace: Pace) -> bool:
         """Hear a vote; True with the one that makes a majority."""
         before = len(self.votes)
         self.votes.add(voter)
@@ -55,23 +55,23 @@
 
     digest: bytes
     slot: int
-    before: bytes  # digest of the version that it is to replace
-    began: float
+    previous_digest: bytes  # digest of the version that it is to replace
+    started_at: float
     state: State = "checking"
     reasons: dict[int, str] = field(default_factory=dict)  # by member, -1 for none of them
     opinions: dict[int, int] = field(default_factory=dict)  # by member: verdict
     holders: dict[int, set[int]] = field(default_factory=dict)  # by voter: who holds a lease of its
     settles: bool = False  # the slot is to be closed, whatever is in it: nothing is checked
     voted_on: bool = False  # a vote on it was asked for, so that others may finish it
-    asked: float = float("-inf")
-    ended: float = 0.0
+    last_sent_at: float = float("-inf")
+    ended_at: float = 0.0
 
     @property
-    def over(self) -> bool:
+    def finished(self) -> bool:
         """Tell whether its end is known for certain."""
         return self.state in ENDS
 
-    def needed(self, pace: Pace) -> set[int] | None:
+    def required_members(self, pace: Pace) -> set[int] | None:
         """Give the members that may serve now; None until a majority of the voters has told of its leases."""
         if len(self.holders) < pace.majority:
             return None
@@ -79,5 +79,5 @@
 
     def end(self, now: float, state: State, reasons: dict[int, str] | None = None) -> None:
         """Come to an end, or to not knowing it."""
-        self.state, self.ended = state, now
+        self.state, self.ended_at = state, now
         self.reasons |= reasons or {}
--- a/petrelhall/accord/checks.py
+++ b/petrelhall/accord/checks.py
@@ -25,6 +25,6 @@
             found = self.verdicts[digest] = self.check(self.documents.held[digest])
         return found
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Check all anew, since what they are checked against has changed."""
         self.verdicts.clear()
--- a/petrelhall/accord/core.py
+++ b/petrelhall/accord/core.py
@@ -21,7 +21,7 @@
 from petrelhall.accord.documents import Documents
 from petrelhall.accord.events import Abort, Action, Begin, Event, Keep, Propose, Serve, Settle, Told
 from petrelhall.accord.history import History
-from petrelhall.accord.lease import Holder
+from petrelhall.accord.lease import LeaseHolder
 from petrelhall.accord.leases import Leases
 from petrelhall.accord.outbox import Outbox
 from petrelhall.accord.plan import Pace
@@ -32,7 +32,7 @@
 from petrelhall.accord.votes import Memory, Voter
 from petrelhall.accord.voting import Voting
 from petrelhall.accord.words import FULL
-from petrelhall.events import Dropped, Heard, Quiet, Send, Tick
+from petrelhall.events import Dropped, MessageReceived, Send, Superseded, Tick
 
 __all__ = [
     "Abort",
@@ -41,10 +41,10 @@
     "Begin",
     "Dropped",
     "Event",
-    "Heard",
+    "MessageReceived",
     "Keep",
     "Propose",
-    "Quiet",
+    "Superseded",
     "Send",
     "Serve",
     "Settle",
@@ -75,7 +75,7 @@
             self.documents.put(content)
         self.file = self.documents.put(document)  # what the file says: version 0 where nobody knows of a later one
         self.voter = Voter(pace, memory, now) if number in pace.voters else None
-        self.holder = Holder(pace)
+        self.holder = LeaseHolder(pace)
         self.known = memory or Memory()  # the last decision known here
         self.certain = memory is not None  # whether anything is known
         self.history = History()
@@ -115,14 +115,14 @@
 
     def allowed(self, now: float) -> bool:
         """Tell whether a request may be admitted now, under what is served."""
-        return self.serving is not None and now < self.holder.until[self.kind]
+        return self.serving is not None and now < self.holder.expires_at[self.kind]
 
     # Turns
 
     def handle(self, now: float, event: Event) -> list[Action]:
         """Take in one event; the time never goes back."""
         self.outbox.begin_turn(now)
-        if isinstance(event, Heard):
+        if isinstance(event, MessageReceived):
             self.on_message(now, event.sender, event.content)
         elif isinstance(event, Propose):
             self.proposals.propose(now, event)
@@ -132,17 +132,17 @@
             self.proposals.settle(now)
         elif isinstance(event, Begin):
             self.recovery.begin_at = now + self.pace.fence_ms  # who is there has answered by then
-        elif isinstance(event, Quiet):
-            self.outbox.quiet, self.ballot = True, None
-        if not self.outbox.quiet:
+        elif isinstance(event, Superseded):
+            self.outbox.superseded, self.ballot = True, None
+        if not self.outbox.superseded:
             self.recovery.recover(now)
             self.proposals.advance(now)
             self.voting.advance(now)
             if self.voter is not None:
-                self.leases.clear(now)
+                self.leases.grant_waiting(now)
             self.leases.renew(now)
             self.decisions.announce(now)
-            self.transfer.request(now)
+            self.transfer.request_missing(now)
             self.transfer.send_pieces()
         self.leases.serve(now)
         return self.outbox.actions
@@ -168,7 +168,7 @@
             self.outbox.actions.append(Dropped(message))
         elif getattr(message, "to", self.life) != self.life:
             self.outbox.actions.append(Dropped("other_life"))
-        elif not self.outbox.quiet:
+        elif not self.outbox.superseded:
             self.dispatch(now, sender, message)
 
     def dispatch(self, now: float, sender: int, message: words.AnyWord) -> None:
@@ -222,10 +222,12 @@
         self.history.add(version, digest)
         if self.voter is not None and self.voter.remembers:
             self.voter.learn(version, digest)
-        self.holder.begin()  # with no lease nothing is let in, whatever was served
-        self.leases.next_ask = now
-        self.decisions.pushed = -math.inf if source == self.number else now  # others tell what who decided it could not
-        self.transfer.seek(digest, source)
+        self.holder.reset()  # with no lease nothing is let in, whatever was served
+        self.leases.next_request_at = now
+        self.decisions.announced_at = (
+            -math.inf if source == self.number else now
+        )  # others tell what who decided it could not
+        self.transfer.fetch(digest, source)
         if self.ballot is not None and self.ballot.slot <= version:
             self.ballot = None
         self.voting.seen_ballot = 0
@@ -235,9 +237,9 @@
     def promised(self, now: float, ballot: Ballot, voter: int, accepted: int, digest: bytes) -> None:
         """Go on to the vote once a majority has promised."""
         before = ballot.value
-        ballot.promised(voter, accepted, digest, self.pace)
+        ballot.add_promise(voter, accepted, digest, self.pace)
         if ballot.value and not before:
-            ballot.asked = -math.inf
+            ballot.last_sent_at = -math.inf
             if ballot.value not in self.documents.held:
                 self.documents.seek(ballot.value, voter)
             for change in self.changes:
@@ -246,14 +248,14 @@
 
     def voted(self, now: float, ballot: Ballot, voter: int) -> None:
         """Decide with a majority."""
-        if ballot.voted(voter, self.pace):
+        if ballot.add_vote(voter, self.pace):
             self.documents.seek(ballot.value, next(iter(sorted(ballot.votes - {self.number})), voter))
             self.learn(now, ballot.slot, ballot.value, self.number)
 
     def hold(self, content: bytes) -> bytes:
         """Hold a document; those of the last versions and of open changes stay."""
         wanted = {digest for _, digest in self.history.latest(4)} | {self.file, self.known.digest}
-        wanted |= {change.digest for change in self.changes if not change.over}
+        wanted |= {change.digest for change in self.changes if not change.finished}
         if self.voter is not None:
             wanted.add(self.voter.memory.value)
         digest = self.documents.put(content, frozenset(wanted))
@@ -266,7 +268,7 @@
 
     def owed(self, now: float) -> list[int]:
         """Give the members that are not known to have the decided version, as far as this gateway hears."""
-        return self.leases.owed(now)
+        return self.leases.members_behind(now)
 
     def view(self, now: float) -> dict[str, Any]:
         """Give all of it as JSON's values."""
--- a/petrelhall/accord/decisions.py
+++ b/petrelhall/accord/decisions.py
@@ -16,7 +16,7 @@
 
     def __init__(self, core: Accord) -> None:
         self.core = core
-        self.pushed = -math.inf  # when the last decision was last told
+        self.announced_at = -math.inf  # when the last decision was last told
 
     def on_decided(self, now: float, sender: int, message: words.Decided) -> None:
         """Learn of decisions."""
@@ -43,7 +43,7 @@
         if found:
             core.outbox.send(sender, words.Decided(core.life, tuple(found[: words.HISTORY])))
 
-    def behind(self, now: float, sender: int, slot: int, before: bytes) -> bool:
+    def not_next_slot(self, now: float, sender: int, slot: int, before: bytes) -> bool:
         """Learn what a message on a slot implies; True where the slot is one that is decided here, which is told."""
         core = self.core
         core.learn(now, slot - 1, before, sender)
@@ -55,11 +55,11 @@
     def announce(self, now: float) -> None:
         """Tell of a decision until all were heard to know it."""
         core = self.core
-        if core.certain and core.known.version and now - self.pushed >= core.pace.retry_ms:
+        if core.certain and core.known.version and now - self.announced_at >= core.pace.retry_ms:
             late = core.voter.earlier(now) if core.voter is not None else set()
-            if self.pushed == -math.inf:  # who decided it tells all, once
+            if self.announced_at == -math.inf:  # who decided it tells all, once
                 late = set(range(core.pace.members))
-            self.pushed = now
+            self.announced_at = now
             message = words.Decided(core.life, core.history.latest(words.HISTORY))
             for number in core.random.sample(sorted(late), len(late)):
                 core.outbox.send(number, message, float(len(core.pace.voters)))
--- a/petrelhall/accord/events.py
+++ b/petrelhall/accord/events.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from petrelhall.accord.votes import Memory
-from petrelhall.events import Dropped, Heard, Quiet, Send, Tick
+from petrelhall.events import Dropped, MessageReceived, Send, Superseded, Tick
 
 # Events
 
@@ -35,7 +35,7 @@
     """An operator states that all voters not heard here are gone, and come back empty if they come back."""
 
 
-Event = Tick | Heard | Propose | Abort | Settle | Begin | Quiet
+Event = Tick | MessageReceived | Propose | Abort | Settle | Begin | Superseded
 
 
 # Actions
--- a/petrelhall/accord/lease.py
+++ b/petrelhall/accord/lease.py
@@ -10,7 +10,7 @@
 KEPT = 16  # asks whose answers are still taken
 
 
-class Holder:
+class LeaseHolder:
     """One member's lease on one version."""
 
     def __init__(self, pace: Pace) -> None:
@@ -18,16 +18,16 @@
         self.nonce = 0
         self.asked: dict[int, float] = {}  # by nonce: when
         self.got: dict[int, dict[int, float]] = {FULL: {}, EITHER: {}}  # by kind and voter: until when
-        self.until: dict[int, float] = {FULL: -math.inf, EITHER: -math.inf}
+        self.expires_at: dict[int, float] = {FULL: -math.inf, EITHER: -math.inf}
 
-    def begin(self) -> None:
+    def reset(self) -> None:
         """Hold nothing: another version is asked for."""
         self.asked.clear()
         for kind in (FULL, EITHER):
             self.got[kind].clear()
-            self.until[kind] = -math.inf
+            self.expires_at[kind] = -math.inf
 
-    def ask(self, now: float) -> int:
+    def new_request(self, now: float) -> int:
         """Give the number of an ask made now."""
         self.nonce += 1
         self.asked[self.nonce] = now
@@ -35,7 +35,7 @@
             del self.asked[next(iter(self.asked))]
         return self.nonce
 
-    def granted(self, voter: int, nonce: int, kind: int, ms: float) -> bool:
+    def add_grant(self, voter: int, nonce: int, kind: int, ms: float) -> bool:
         """Take a grant in; False where it answers nothing that was asked for this version."""
         asked = self.asked.get(nonce)
         if asked is None or voter not in self.pace.voters or kind not in self.got:
@@ -45,5 +45,5 @@
             until[voter] = max(until.get(voter, -math.inf), asked + min(ms, self.pace.life_ms))
             ends = sorted(until.values(), reverse=True)
             if len(ends) >= self.pace.majority:
-                self.until[known] = ends[self.pace.majority - 1]
+                self.expires_at[known] = ends[self.pace.majority - 1]
         return True
--- a/petrelhall/accord/leases.py
+++ b/petrelhall/accord/leases.py
@@ -18,20 +18,22 @@
 
     def __init__(self, core: Accord, now: float) -> None:
         self.core = core
-        self.next_ask = now
+        self.next_request_at = now
         self.asked: dict[int, float] = {}  # by voter: when it was last asked for a lease
-        self.versions: dict[int, tuple[int, float]] = {}  # by member: the version that it last asked a lease on, when
+        self.reported_versions: dict[
+            int, tuple[int, float]
+        ] = {}  # by member: the version that it last asked a lease on, when
 
     def renew(self, now: float) -> None:
         """Ask for a lease on what is decided, again and again."""
         core = self.core
-        if core.certain and now >= self.next_ask:
+        if core.certain and now >= self.next_request_at:
             self.ask(now, core.pace.voters)
             missing = core.history.missing(core.known.version)
             if missing is not None:
                 core.outbox.send(core.random.choice(sorted(core.pace.voters)), words.Older(core.life, missing))
-            holds = core.holder.until[FULL] > now
-            self.next_ask = now + (core.pace.ask_ms if holds else core.pace.again_ms)
+            holds = core.holder.expires_at[FULL] > now
+            self.next_request_at = now + (core.pace.ask_ms if holds else core.pace.again_ms)
 
     def ask(self, now: float, voters: frozenset[int]) -> None:
         """Ask for a lease, where the document is held and can be served here; else give back what was before."""
@@ -43,22 +45,22 @@
             core.trouble = f"version {core.known.version} cannot be served here: {reason}" if reason else ""
         ask = words.Ask(
             core.life,
-            core.holder.ask(now),
+            core.holder.new_request(now),
             core.known.version,
             digest,
             int(core.pace.life_ms),
             held and not reason,
             self.before() is not None,
         )
-        self.versions[core.number] = core.known.version, now
+        self.reported_versions[core.number] = core.known.version, now
         for number in sorted(voters):
             self.asked[number] = now
             core.outbox.send(number, ask)
         if core.voter is not None and core.number in voters:
             kind = core.voter.grant(now, core.number, ask)
             if kind != NONE:
-                core.holder.granted(core.number, ask.nonce, kind, float(ask.ms))
-            self.clear(now)
+                core.holder.add_grant(core.number, ask.nonce, kind, float(ask.ms))
+            self.grant_waiting(now)
 
     def before(self) -> bytes | None:
         """Give the digest of the version before the decided one, where its document is held and can be served."""
@@ -70,20 +72,20 @@
         """Answer with a lease, or with what is decided."""
         core = self.core
         core.learn(now, message.version, message.digest, sender)
-        self.versions[sender] = message.version, now
+        self.reported_versions[sender] = message.version, now
         if core.voter is None:
             return
         kind = core.voter.grant(now, sender, message)
         if kind != NONE or sender not in core.voter.waiting:  # one that waits is answered once there is an answer
             self.answer(now, sender, message, kind)
-        self.clear(now)
+        self.grant_waiting(now)
 
     def answer(self, now: float, to: int, ask: words.Ask, kind: int) -> None:
         """Tell an asker what it got."""
         core = self.core
         assert core.voter is not None
         if to == core.number:
-            core.holder.granted(to, ask.nonce, kind, float(ask.ms))
+            core.holder.add_grant(to, ask.nonce, kind, float(ask.ms))
         elif core.certain:
             core.outbox.send(
                 to,
@@ -99,7 +101,7 @@
                 ),
             )
 
-    def clear(self, now: float) -> None:
+    def grant_waiting(self, now: float) -> None:
         """Grant to those that waited until this voter was clear of earlier versions."""
         core = self.core
         assert core.voter is not None
@@ -111,7 +113,7 @@
         core = self.core
         core.learn(now, message.version, message.digest, sender)
         if message.version == core.known.version and message.kind != NONE:
-            if not core.holder.granted(sender, message.nonce, message.kind, float(message.ms)):
+            if not core.holder.add_grant(sender, message.nonce, message.kind, float(message.ms)):
                 core.outbox.actions.append(Dropped("late"))
 
     def serve(self, now: float) -> None:
@@ -120,9 +122,9 @@
         digest = core.known.digest
         if not core.certain or digest not in core.documents.held:
             return
-        full = core.holder.until[FULL] > now
+        full = core.holder.expires_at[FULL] > now
         before = None if full else self.before()
-        if not full and (before is None or core.holder.until[EITHER] <= now):
+        if not full and (before is None or core.holder.expires_at[EITHER] <= now):
             return
         core.kind = FULL if full else EITHER
         wanted = core.known.version, digest, before
@@ -131,15 +133,15 @@
             held = core.documents.held
             core.outbox.actions.append(Serve(core.known.version, held[digest], held[before] if before else None))
             for change in core.changes:
-                if not change.over and change.slot <= core.known.version:
+                if not change.finished and change.slot <= core.known.version:
                     core.proposals.outcome(now, change)
 
-    def owed(self, now: float) -> list[int]:
+    def members_behind(self, now: float) -> list[int]:
         """Give the members that are not known to have the decided version, as far as this gateway hears."""
         core = self.core
         return [
             number
             for number in range(core.pace.members)
-            if self.versions.get(number, (-1, 0.0))[0] < core.known.version
-            or now - self.versions[number][1] > 2.0 * core.pace.life_ms
+            if self.reported_versions.get(number, (-1, 0.0))[0] < core.known.version
+            or now - self.reported_versions[number][1] > 2.0 * core.pace.life_ms
         ]
--- a/petrelhall/accord/outbox.py
+++ b/petrelhall/accord/outbox.py
@@ -18,7 +18,7 @@
         self.number, self.pace = number, pace
         self.most = BEHIND * len(pace.voters) + 2.0 * pace.members
         self.room, self.room_at = self.most, now
-        self.quiet = False  # a newer process of this member speaks
+        self.superseded = False  # a newer process of this member speaks
         self.actions: list[Action] = []
 
     def begin_turn(self, now: float) -> None:
@@ -29,7 +29,7 @@
 
     def send(self, to: int, message: AnyWord, reserve: float = 0.0) -> bool:
         """Send a message, within the pace; what does not go now is sent again by whoever still needs it."""
-        if to == self.number or self.quiet:
+        if to == self.number or self.superseded:
             return False
         if self.room < 1.0 + reserve:
             self.actions.append(Dropped("no_room"))
--- a/petrelhall/accord/proposals.py
+++ b/petrelhall/accord/proposals.py
@@ -32,10 +32,12 @@
         digest = digest_of(event.content)
         change = Change(digest, event.base + 1, core.known.digest, now)
         for known in self.changes:  # the same document proposed again is the same change
-            if (known.digest, known.slot) == (digest, change.slot) and (not known.over or known.state == "in force"):
+            if (known.digest, known.slot) == (digest, change.slot) and (
+                not known.finished or known.state == "in force"
+            ):
                 return
         self.changes.append(change)
-        busy = [one for one in self.changes if one is not change and not one.over and one.slot == change.slot]
+        busy = [one for one in self.changes if one is not change and not one.finished and one.slot == change.slot]
         reason = ""
         if len(event.content) > MOST_BYTES:
             reason = f"larger than {MOST_BYTES} bytes"
@@ -60,7 +62,7 @@
     def settle(self, now: float) -> None:
         """Close the next slot, with what was voted on in it or with what is in force as it is."""
         core = self.core
-        if not core.certain or any(change.settles and not change.over for change in self.changes):
+        if not core.certain or any(change.settles and not change.finished for change in self.changes):
             return
         self.changes.append(
             Change(core.known.digest, core.known.version + 1, core.known.digest, now, "deciding", settles=True)
@@ -69,7 +71,7 @@
     def advance(self, now: float) -> None:
         """Go on with the changes that are open."""
         for change in self.changes:
-            if not change.over:
+            if not change.finished:
                 self.follow(now, change)
 
     def deciding(self) -> bytes | None:
@@ -90,7 +92,10 @@
             return self.outcome(now, change)
         if change.state == "checking":
             self.follow_checks(now, change)
-        elif change.state == "deciding" and now - change.began > self.patience(change) + GIVE_UP * core.pace.ballot_ms:
+        elif (
+            change.state == "deciding"
+            and now - change.started_at > self.patience(change) + GIVE_UP * core.pace.ballot_ms
+        ):
             if change.voted_on or change.settles:
                 change.end(now, "not known")
                 core.ballot = None
@@ -102,24 +107,24 @@
         core = self.core
         if core.voter is not None and core.voter.remembers and now >= core.voter.fence:
             change.holders[core.number] = core.voter.holders(now)
-        needed = change.needed(core.pace)
+        needed = change.required_members(core.pace)
         if needed is not None and all(change.opinions.get(number) == 1 for number in needed):
             change.state = "deciding"
-        elif now - change.began > self.patience(change):
+        elif now - change.started_at > self.patience(change):
             silent = sorted((needed or set(core.pace.voters)) - set(change.opinions))
             behind = sorted(number for number, verdict in change.opinions.items() if not verdict)
             reason = f"no answer from {silent}" if silent else f"{behind} have not got the whole of it"
             self.end(now, change, "nowhere", {-1: reason})
-        elif now - change.asked >= 1.5 * core.pace.retry_ms:
+        elif now - change.last_sent_at >= 1.5 * core.pace.retry_ms:
             self.ask_for_checks(now, change)
 
     def ask_for_checks(self, now: float, change: Change) -> None:
         """Ask all voters for their opinions, and of the others those that have none yet."""
         core = self.core
-        change.asked = now
+        change.last_sent_at = now
         content = core.documents.held.get(change.digest, b"")
         whole = content if len(content) <= words.DATA else b""
-        message = words.Check(core.life, change.slot, change.digest, change.before, whole)
+        message = words.Check(core.life, change.slot, change.digest, change.previous_digest, whole)
         others = [number for number in range(core.pace.members) if number != core.number]
         voters = [number for number in others if number in core.pace.voters]
         rest = [number for number in others if number not in core.pace.voters and not change.opinions.get(number)]
@@ -150,7 +155,7 @@
     def end(self, now: float, change: Change, state: Any, reasons: dict[int, str] | None = None) -> None:
         """Have a change end."""
         core = self.core
-        if change.over:
+        if change.finished:
             return
         change.end(now, state, reasons)
         why = "; ".join(f"{number}: {reason}" if number >= 0 else reason for number, reason in change.reasons.items())
@@ -161,7 +166,7 @@
     def on_check(self, now: float, sender: int, message: words.Check) -> None:
         """Look at a document that may come, and tell what this gateway's own checks say."""
         core = self.core
-        if core.decisions.behind(now, sender, message.slot, message.before):
+        if core.decisions.not_next_slot(now, sender, message.slot, message.before):
             return
         if (
             message.content
@@ -169,7 +174,7 @@
             and message.digest not in core.documents.held
         ):
             core.hold(message.content)
-        core.transfer.seek(message.digest, sender)
+        core.transfer.fetch(message.digest, sender)
         held = message.digest in core.documents.held
         reason = core.checks.reason(message.digest) if held else ""
         votes = core.voter is not None and core.voter.remembers and now >= core.voter.fence
--- a/petrelhall/accord/transfer.py
+++ b/petrelhall/accord/transfer.py
@@ -23,7 +23,7 @@
         self.sought = -math.inf  # when documents were last asked for
         self.pieces: deque[tuple[int, words.Piece]] = deque()
 
-    def seek(self, digest: bytes, source: int) -> None:
+    def fetch(self, digest: bytes, source: int) -> None:
         """Have a document fetched, at once where it is not on its way yet."""
         if digest not in self.documents.held and digest not in self.documents.parts and source != self.outbox.number:
             self.sought = -math.inf
@@ -38,7 +38,7 @@
             if (sender, piece) not in self.pieces:
                 self.pieces.append((sender, piece))
 
-    def request(self, now: float) -> None:
+    def request_missing(self, now: float) -> None:
         """Ask for the pieces that are missing."""
         if not self.documents.parts or now - self.sought < self.pace.retry_ms:
             return
--- a/petrelhall/accord/view.py
+++ b/petrelhall/accord/view.py
@@ -18,7 +18,7 @@
         "version": change.slot,
         "state": change.state,
         "settles": change.settles,
-        "took_ms": round((change.ended or now) - change.began),
+        "took_ms": round((change.ended_at or now) - change.started_at),
         "reasons": {str(number): reason for number, reason in change.reasons.items()},
     }
 
@@ -32,7 +32,7 @@
     pending = [
         {"digest": change.digest.hex(), "version": change.slot, "state": change.state}
         for change in core.changes
-        if not change.over
+        if not change.finished
     ]
     if memory is not None and memory.accepted and not pending:
         pending.append({"digest": memory.value.hex(), "version": memory.version + 1, "state": "voted on"})
@@ -43,10 +43,10 @@
         "digest": core.known.digest.hex(),
         "state": state,
         "why": core.trouble,
-        "lease_ms": round(max(0.0, core.holder.until[core.kind] - now)) if core.allowed(now) else 0,
+        "lease_ms": round(max(0.0, core.holder.expires_at[core.kind] - now)) if core.allowed(now) else 0,
         "votes": memory is not None,
         "pending": pending,
-        "owed": core.leases.owed(now) if core.certain else [],
+        "owed": core.leases.members_behind(now) if core.certain else [],
         "members": [
             {
                 "number": number,
@@ -54,7 +54,7 @@
                 "version": version,
                 "asked_ms_ago": round(now - at),
             }
-            for number, (version, at) in sorted(core.leases.versions.items())
+            for number, (version, at) in sorted(core.leases.reported_versions.items())
         ],
         "history": [{"version": version, "digest": digest.hex()} for version, digest in core.history],
         "changes": [change_row(change, now) for change in core.changes],
--- a/petrelhall/accord/voting.py
+++ b/petrelhall/accord/voting.py
@@ -24,13 +24,13 @@
         """Go on with the open ballot, or begin one for a change of this gateway's or votes that nobody finished."""
         core = self.core
         ballot = core.ballot
-        if ballot is not None and not ballot.open(now, core.pace):
+        if ballot is not None and not ballot.is_open(now, core.pace):
             ballot = core.ballot = None
         if ballot is None:
             own = core.proposals.deciding()
             if own is not None or self.unfinished(now):
                 ballot = core.ballot = self.begin(now, own or core.known.digest)
-        if ballot is not None and now - ballot.asked >= core.pace.retry_ms:
+        if ballot is not None and now - ballot.last_sent_at >= core.pace.retry_ms:
             self.canvass(now, ballot)
 
     def unfinished(self, now: float) -> bool:
@@ -52,7 +52,7 @@
     def canvass(self, now: float, ballot: Ballot) -> None:
         """Ask the voters that have not answered, oneself among them."""
         core = self.core
-        ballot.asked = now
+        ballot.last_sent_at = now
         voter, before = core.voter, core.known.digest
         if voter is not None and voter.remembers and not ballot.value and core.number not in ballot.promises:
             if voter.promise(ballot.number):
@@ -73,7 +73,7 @@
     def voting(self, now: float, sender: int, slot: int, before: bytes) -> bool:
         """Tell whether this gateway votes on a slot now."""
         core = self.core
-        later = core.decisions.behind(now, sender, slot, before)
+        later = core.decisions.not_next_slot(now, sender, slot, before)
         return not later and core.voter is not None and core.voter.remembers
 
     def on_prepare(self, now: float, sender: int, message: words.Prepare) -> None:
@@ -100,7 +100,7 @@
             return
         assert core.voter is not None
         self.seen_ballot = max(self.seen_ballot, message.ballot)
-        core.transfer.seek(message.digest, sender)
+        core.transfer.fetch(message.digest, sender)
         if core.voter.accept(now, message.ballot, message.digest):
             core.keep()
             core.outbox.send(sender, words.Accepted(core.life, message.life, message.slot, message.ballot))
@@ -115,7 +115,7 @@
             ballot is not None
             and (ballot.slot, ballot.number) == (message.slot, message.ballot)
             and sender in core.pace.voters
-            and ballot.open(now, core.pace)
+            and ballot.is_open(now, core.pace)
         ):
             core.promised(now, ballot, sender, message.accepted, message.digest)
 
@@ -127,7 +127,7 @@
             ballot is not None
             and (ballot.slot, ballot.number) == (message.slot, message.ballot)
             and sender in core.pace.voters
-            and ballot.open(now, core.pace)
+            and ballot.is_open(now, core.pace)
         ):
             core.voted(now, ballot, sender)
 
@@ -137,6 +137,6 @@
         self.seen_ballot = max(self.seen_ballot, message.ballot)
         ballot = core.ballot
         if ballot is not None and ballot.slot == message.slot and ballot.number < message.ballot:
-            ballot.began = min(
-                ballot.began, now - core.pace.ballot_ms + core.random.uniform(0.0, 2.0) * core.pace.retry_ms
+            ballot.started_at = min(
+                ballot.started_at, now - core.pace.ballot_ms + core.random.uniform(0.0, 2.0) * core.pace.retry_ms
             )
--- a/petrelhall/distribution/consensus.py
+++ b/petrelhall/distribution/consensus.py
@@ -103,7 +103,7 @@
 
     def receive(self, now: float, replica: int, content: bytes) -> list[ConsensusAction]:
         """Take in a datagram."""
-        return self.carry_out(self.accord.handle(now, core.Heard(replica, content)))
+        return self.carry_out(self.accord.handle(now, core.MessageReceived(replica, content)))
 
     def propose(self, now: float, slot: int, record: ControlRecord) -> list[ConsensusAction]:
         """Propose a record for the slot after ``slot``."""
@@ -130,7 +130,7 @@
             return
         for change in self.accord.changes:
             slot = self.proposals.get(change.digest)
-            if slot is None or change.slot != slot + 1 or not change.over:
+            if slot is None or change.slot != slot + 1 or not change.finished:
                 continue
             del self.proposals[change.digest]
             if change.state == "nowhere":
@@ -147,4 +147,4 @@
         if self.slot < 0:
             return None
         current = accord.certain and accord.known.version == self.slot
-        return ConsensusState(self.slot, self.record, accord.holder.until[FULL] if current else -math.inf)
+        return ConsensusState(self.slot, self.record, accord.holder.expires_at[FULL] if current else -math.inf)
--- a/petrelhall/emulate/accord.py
+++ b/petrelhall/emulate/accord.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from petrelhall.accord import words
-from petrelhall.accord.core import Accord, Heard, Keep, Propose, Send, Tick
+from petrelhall.accord.core import Accord, Keep, MessageReceived, Propose, Send, Tick
 from petrelhall.accord.plan import RHO, Pace, pace
 from petrelhall.accord.votes import Memory
 from petrelhall.emulate.fabric import Fabric, Links
@@ -194,7 +194,7 @@
             self.record.admitted.append(Admitted(self.now, number, version, digest.hex()[:8], before is not None))
         for change in core.changes:
             claim = number, change.slot, change.digest.hex()[:8], change.state
-            if change.over and claim not in self.told and not change.settles:
+            if change.finished and claim not in self.told and not change.settles:
                 self.told.add(claim)
                 self.record.claims.append(Claim(self.now, change.slot, change.digest.hex()[:8], change.state))
 
@@ -233,7 +233,7 @@
             self.held.setdefault(receiver, []).append((sender, content))
         else:
             core = self.cores[receiver]
-            self.carry(receiver, core.handle(self.clock(receiver), Heard(sender, content)), turn)
+            self.carry(receiver, core.handle(self.clock(receiver), MessageReceived(sender, content)), turn)
             self.look(receiver)
 
     def wrong(self) -> list[str]:
@@ -320,7 +320,7 @@
 
     def hear(self, core: Accord, now: float, sender: int, content: bytes) -> Iterable[tuple[int | None, bytes]]:
         """Give a core a datagram."""
-        return self.sends(core, core.handle(now, Heard(sender, content)))
+        return self.sends(core, core.handle(now, MessageReceived(sender, content)))
 
 
 @dataclass(frozen=True)
@@ -399,7 +399,7 @@
         start = fabric.now
 
         def ended(core: Accord = core, version: int = version) -> bool:
-            return any(change.over for change in core.changes if change.slot == version)
+            return any(change.finished for change in core.changes if change.slot == version)
 
         def all_serve(version: int = version) -> bool:
             return all(core.allowed(fabric.now) and core.known.version >= version for core in running())
--- a/petrelhall/emulate/members.py
+++ b/petrelhall/emulate/members.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from petrelhall.emulate.fabric import Fabric, Links
-from petrelhall.members.core import Action, Changed, Heard, Members, Send, Tick
+from petrelhall.members.core import Action, Changed, Members, MessageReceived, Send, Tick
 from petrelhall.members.plan import LOOK_MS, Pace, pace
 from petrelhall.standins.history import History, Moment, Said, Stated, Verdict
 
@@ -38,7 +38,7 @@
 
     def hear(self, core: Any, now: float, sender: int, content: bytes) -> Iterable[tuple[int | None, bytes]]:
         """Give it a word."""
-        return self.noted(core, now, core.handle(now, Heard(sender, content)))
+        return self.noted(core, now, core.handle(now, MessageReceived(sender, content)))
 
     def noted(self, core: Members, now: float, actions: list[Action]) -> list[tuple[int | None, bytes]]:
         """Keep what it says of others, give what it sends."""
@@ -357,7 +357,7 @@
         if number in turn.stopped:
             self.waiting.setdefault(number, []).append((sender, content))
         else:
-            self.act(number, self.cores[number].handle(self.now, Heard(sender, content)), turn)
+            self.act(number, self.cores[number].handle(self.now, MessageReceived(sender, content)), turn)
 
     def act(self, number: int, actions: list[Action], turn: Turn) -> None:
         """Carry out what a core says."""
--- a/petrelhall/events.py
+++ b/petrelhall/events.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Heard:
+class MessageReceived:
     """A message came from the address of member ``sender``."""
 
     sender: int
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Quiet:
+class Superseded:
     """A newer process of this member speaks from now on."""
 
 
@@ -41,6 +41,6 @@
 
 @dataclass(frozen=True, slots=True)
 class Dropped:
-    """A message was not taken or not sent; ``why`` is counted."""
+    """A message was not taken or not sent; ``reason`` is counted."""
 
-    why: str
+    reason: str
--- a/petrelhall/gateway/agreement.py
+++ b/petrelhall/gateway/agreement.py
@@ -22,13 +22,13 @@
     Begin,
     Dropped,
     Event,
-    Heard,
     Keep,
+    MessageReceived,
     Propose,
-    Quiet,
     Send,
     Serve,
     Settle,
+    Superseded,
     Tick,
     Told,
 )
@@ -179,7 +179,7 @@
     def on_message(self, number: int, content: bytes) -> None:
         """Pass a message from another gateway to the core."""
         if not self.ended:
-            self.handle(Heard(number, content))
+            self.handle(MessageReceived(number, content))
 
     def handle(self, event: Event) -> None:
         """Pass an event to the core and carry out its actions in order: votes are on disk before they are sent."""
@@ -191,14 +191,14 @@
             elif isinstance(action, Keep):
                 if not self.save(action):
                     # A vote that is not on disk must not be sent: a restart would forget it.
-                    self.core.handle(now_ms(), Quiet())
+                    self.core.handle(now_ms(), Superseded())
                     break
             elif isinstance(action, Serve):
                 self.apply_version(action)
             elif isinstance(action, Told):
                 self.log(f"policy: {action.what}")
             elif isinstance(action, Dropped):
-                self.counts.add("accord", f"dropped_{action.why}")
+                self.counts.add("accord", f"dropped_{action.reason}")
         if self.core.serving is not before:
             self.epoch += 1
         if (self.wake_callbacks or not self.was_ready) and self.holds():
@@ -223,11 +223,11 @@
 
     def on_operator_file_changed(self) -> None:
         """Check documents again: one that could not be served may be servable with the changed operators' file."""
-        self.core.checks.forget()
+        self.core.checks.invalidate()
 
     def hand_over(self) -> None:
         """Stop sending and voting: a newer process of this gateway takes over. The current lease stays valid."""
-        self.handle(Quiet())
+        self.handle(Superseded())
         self.ended = True
         if self.lock_fd is not None:
             os.close(self.lock_fd)
--- a/petrelhall/gateway/membership.py
+++ b/petrelhall/gateway/membership.py
@@ -13,7 +13,18 @@
 from petrelhall.decide.interface import Ending
 from petrelhall.gateway.peers import Peers
 from petrelhall.members.boxes import Boxes
-from petrelhall.members.core import Changed, Dropped, Event, Heard, Leave, Members, Quiet, Send, Sign, Tick
+from petrelhall.members.core import (
+    Changed,
+    Dropped,
+    Event,
+    Leave,
+    Members,
+    MessageReceived,
+    Send,
+    Sign,
+    Superseded,
+    Tick,
+)
 from petrelhall.members.plan import LOOK_MS, pace
 from petrelhall.members.words import KIND
 from petrelhall.net.counts import Counts
@@ -58,7 +69,7 @@
         self.servers_checked_ms = now
         self.log_lines = 0
         self.log_second = 0
-        peers.datagram_handlers[KIND] = lambda number, content: self.handle(Heard(number, content))
+        peers.datagram_handlers[KIND] = lambda number, content: self.handle(MessageReceived(number, content))
         peers.on_module_datagram = lambda number: self.handle(Sign(number))
         loop.after(LOOK_MS, self.tick)
         self.log_change({"number": self.core.number, "state": "here", "life": self.core.life, "why": "started"})
@@ -83,7 +94,7 @@
                 self.peers.send(action.content, () if action.to is None else (action.to,))
                 self.counts.add("members", "words")
             elif isinstance(action, Dropped):
-                self.counts.add("members", f"dropped_{action.why}")
+                self.counts.add("members", f"dropped_{action.reason}")
             else:
                 self.counts.add("members", action.state)
                 self.log_change(self.change_fields(action))
@@ -117,7 +128,7 @@
 
     def hand_over(self) -> None:
         """Stop sending: a newer process of this member sends from now on."""
-        self.handle(Quiet())
+        self.handle(Superseded())
         self.ended = True
 
     def view(self) -> dict[str, Any]:
--- a/petrelhall/gateway/sharing.py
+++ b/petrelhall/gateway/sharing.py
@@ -139,7 +139,7 @@
                     self.peers.send(action.content, (action.to,))
                     self.counts.add("quota", "words")
             else:
-                self.counts.add("quota", f"dropped_{action.why}")
+                self.counts.add("quota", f"dropped_{action.reason}")
 
     def set_counter_address(self, counter: Address) -> None:
         """Use the counter at this address from now on; replies to calls made to the previous one are still received."""
--- a/petrelhall/members/core.py
+++ b/petrelhall/members/core.py
@@ -17,7 +17,7 @@
 from collections.abc import Iterable
 from typing import Any
 
-from petrelhall.events import Dropped, Heard, Quiet, Send, Tick
+from petrelhall.events import Dropped, MessageReceived, Send, Superseded, Tick
 from petrelhall.members import view, words
 from petrelhall.members.boxes import code
 from petrelhall.members.detector import Detector
@@ -34,11 +34,11 @@
     "Changed",
     "Dropped",
     "Event",
-    "Heard",
+    "MessageReceived",
     "Leave",
     "Member",
     "Members",
-    "Quiet",
+    "Superseded",
     "Send",
     "Sign",
     "State",
@@ -77,7 +77,7 @@
         if now - self.turned > STALL_MS:
             self.was_away(now, now - self.turned)
         self.turned = now
-        if isinstance(event, Heard):
+        if isinstance(event, MessageReceived):
             self.on_word(now, event.sender, event.content)
         elif isinstance(event, Sign):
             member = self.members.get(event.sender)
@@ -86,7 +86,7 @@
         elif isinstance(event, Leave):
             self.leaving = True
             self.speaker.say(now, None)
-        elif isinstance(event, Quiet):
+        elif isinstance(event, Superseded):
             self.quiet = True
         self.detector.turn(now)
         self.speaker.turn(now)
--- a/petrelhall/members/events.py
+++ b/petrelhall/members/events.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from petrelhall.events import Dropped, Heard, Quiet, Send, Tick
+from petrelhall.events import Dropped, MessageReceived, Send, Superseded, Tick
 
 # Events
 
@@ -21,7 +21,7 @@
     """Told to end."""
 
 
-Event = Tick | Heard | Sign | Leave | Quiet
+Event = Tick | MessageReceived | Sign | Leave | Superseded
 
 
 # Actions
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -23,9 +23,21 @@
 
 from petrelhall.accord import words
 from petrelhall.accord.change import Ballot, ballot_number
-from petrelhall.accord.core import Abort, Accord, Begin, Dropped, Heard, Keep, Propose, Quiet, Send, Settle, Tick
+from petrelhall.accord.core import (
+    Abort,
+    Accord,
+    Begin,
+    Dropped,
+    Keep,
+    MessageReceived,
+    Propose,
+    Send,
+    Settle,
+    Superseded,
+    Tick,
+)
 from petrelhall.accord.documents import DATA, KEPT, MOST_BYTES, Documents, digest_of
-from petrelhall.accord.lease import Holder
+from petrelhall.accord.lease import LeaseHolder
 from petrelhall.accord.plan import MARGIN, RHO, Pace, pace, voters_of
 from petrelhall.accord.votes import Memory, Voter, best
 from petrelhall.accord.words import EITHER, FULL, NONE, STEPS, Ask
@@ -122,30 +134,30 @@
         self.assertEqual(voter.grant(10.0, 0, self.ask(2, either=True, digest=b"d2")), NONE)
 
     def test_a_lease_counts_from_the_ask_and_only_with_a_majority_of_the_voters(self) -> None:
-        holder = Holder(PACE)
-        nonce = holder.ask(100.0)
-        self.assertTrue(holder.granted(0, nonce, FULL, 1000.0))
-        self.assertEqual(holder.until[FULL], -math.inf)
-        self.assertFalse(holder.granted(9, nonce, FULL, 1000.0))  # no voter
-        self.assertFalse(holder.granted(1, nonce + 1, FULL, 1000.0))  # never asked
-        self.assertTrue(holder.granted(1, nonce, EITHER, 1000.0))
-        self.assertEqual((holder.until[FULL], holder.until[EITHER]), (-math.inf, 1100.0))
-        self.assertTrue(holder.granted(2, nonce, FULL, 9999.0))
-        self.assertTrue(holder.granted(0, nonce, FULL, 9999.0))  # no longer than was asked for
-        self.assertEqual(holder.until[FULL], 1100.0)
-        holder.begin()
-        self.assertFalse(holder.granted(2, nonce, FULL, 1000.0))  # an answer of the version before
+        holder = LeaseHolder(PACE)
+        nonce = holder.new_request(100.0)
+        self.assertTrue(holder.add_grant(0, nonce, FULL, 1000.0))
+        self.assertEqual(holder.expires_at[FULL], -math.inf)
+        self.assertFalse(holder.add_grant(9, nonce, FULL, 1000.0))  # no voter
+        self.assertFalse(holder.add_grant(1, nonce + 1, FULL, 1000.0))  # never asked
+        self.assertTrue(holder.add_grant(1, nonce, EITHER, 1000.0))
+        self.assertEqual((holder.expires_at[FULL], holder.expires_at[EITHER]), (-math.inf, 1100.0))
+        self.assertTrue(holder.add_grant(2, nonce, FULL, 9999.0))
+        self.assertTrue(holder.add_grant(0, nonce, FULL, 9999.0))  # no longer than was asked for
+        self.assertEqual(holder.expires_at[FULL], 1100.0)
+        holder.reset()
+        self.assertFalse(holder.add_grant(2, nonce, FULL, 1000.0))  # an answer of the version before
 
     def test_clocks_that_run_apart_leave_no_moment_for_two(self) -> None:
         self.assertGreater(PACE.life_ms * MARGIN / (1.0 + RHO), PACE.life_ms / (1.0 - RHO))
 
     def test_a_ballots_votes_count_for_its_time_only_and_its_number_is_nobody_elses(self) -> None:
         ballot = Ballot(1, ballot_number(0, 2, 5), 0.0, b"own")
-        self.assertTrue(ballot.open(PACE.ballot_ms, PACE))
-        self.assertFalse(ballot.open(PACE.ballot_ms + 1.0, PACE))
-        ballot.promised(0, 0, b"", PACE)
+        self.assertTrue(ballot.is_open(PACE.ballot_ms, PACE))
+        self.assertFalse(ballot.is_open(PACE.ballot_ms + 1.0, PACE))
+        ballot.add_promise(0, 0, b"", PACE)
         self.assertEqual(ballot.value, b"")
-        ballot.promised(1, 3, b"accepted", PACE)
+        ballot.add_promise(1, 3, b"accepted", PACE)
         self.assertEqual(ballot.value, b"accepted")
         numbers = {
             ballot_number(after, member, life)
@@ -288,7 +300,7 @@
         world.take(Turn("well", steps=40))
         self.assertEqual(self.versions(world)[:2], [1, 1])
         took = world.cores[0].changes[0]
-        self.assertLess(took.ended - took.began, MARGIN * FIVE.life_ms + 1000.0)
+        self.assertLess(took.ended_at - took.started_at, MARGIN * FIVE.life_ms + 1000.0)
         self.assertIn(2, world.cores[0].owed(world.clock(0)))
         world.now += 3_600_000.0  # an hour later by its clock
         world.start(2)
@@ -450,7 +462,7 @@
         before = [core.known for core in world.cores.values()]
         for receiver, sender, content in said:
             for bytes_ in (content, content[:9] + b"\xff" + content[10:]):
-                world.cores[receiver].handle(world.clock(receiver), Heard(sender, bytes_))
+                world.cores[receiver].handle(world.clock(receiver), MessageReceived(sender, bytes_))
         self.assertEqual([core.known for core in world.cores.values()], before)
         world.give = carry  # type: ignore[method-assign]
         for _ in range(3):
@@ -462,7 +474,7 @@
         core = world.cores[0]
         now = world.clock(0)
         grant = words.Grant(9, core.life + 1, core.holder.nonce, FULL, 1000, 0, core.known.digest, b"")
-        found = core.handle(now, Heard(1, words.encode(grant, 3, 3)))
+        found = core.handle(now, MessageReceived(1, words.encode(grant, 3, 3)))
         self.assertIn(Dropped("other_life"), found)
         for late, version in ((PACE.ballot_ms + 1.0, 0), (0.0, 1)):
             core.ballot = Ballot(1, 77, now - late, b"x", value=b"x")
@@ -504,7 +516,7 @@
     def test_one_that_does_not_remember_writes_nothing_down_that_would_pass_for_a_memory(self) -> None:
         core = Accord(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
         word = words.encode(words.Decided(9, ((4, digest_of(b"four")),)), 3, 3)
-        found = core.handle(1.0, Heard(1, word))
+        found = core.handle(1.0, MessageReceived(1, word))
         self.assertEqual((core.known.version, [one for one in found if isinstance(one, Keep)]), (4, []))
 
     def test_one_that_starts_learns_how_earlier_changes_ended(self) -> None:
@@ -521,7 +533,7 @@
     def test_a_process_that_was_replaced_says_nothing_and_serves_to_the_end_of_its_lease_only(self) -> None:
         world = self.world()
         core, now = world.cores[0], world.clock(0)
-        self.assertEqual(core.handle(now, Quiet()), [])
+        self.assertEqual(core.handle(now, Superseded()), [])
         self.assertTrue(core.allowed(now))
         self.assertEqual(core.handle(now + 500.0, Tick()), [])
         self.assertFalse(core.allowed(now + PACE.life_ms))
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -13,7 +13,7 @@
 from petrelhall.emulate.members import Scene, explore, play
 from petrelhall.members import words
 from petrelhall.members.boxes import HOLD_MS, Boxes, code
-from petrelhall.members.core import Changed, Dropped, Heard, Leave, Members, Quiet, Send, Sign, Tick
+from petrelhall.members.core import Changed, Dropped, Leave, Members, MessageReceived, Send, Sign, Superseded, Tick
 from petrelhall.members.plan import Pace, pace
 from petrelhall.members.words import Word, decode, encode
 from petrelhall.standins.history import History, Moment, Said, Stated
@@ -178,7 +178,9 @@
         rows = b"".join(
             bytes(table.get(number, (core.members[number].life ^ 255 if number else 0, 0))) for number in range(6)
         )
-        core.handle(now, Heard(1, encode(Word(1, known.life, known.seq + 1, known.counter + 1, 6, table=rows))))
+        core.handle(
+            now, MessageReceived(1, encode(Word(1, known.life, known.seq + 1, known.counter + 1, 6, table=rows)))
+        )
 
     def test_news_that_time_cannot_have_brought_or_of_one_that_failed_is_not_believed(self) -> None:
         scene = self.scene()
@@ -224,7 +226,7 @@
         scene.run(3.0)
         after = scene.core(0).members[3].life
         self.assertGreater(after, before)
-        actions = scene.core(0).handle(scene.fabric.now, Heard(3, late[0]))
+        actions = scene.core(0).handle(scene.fabric.now, MessageReceived(3, late[0]))
         self.assertIn(Dropped("dead_life"), actions)
         self.assertEqual(scene.core(0).members[3].life, after)
         self.assertFalse([a for a in actions if isinstance(a, Changed)])
@@ -252,10 +254,10 @@
             (first[:30], "spoilt"),
             (other, "foreign"),
         ):
-            self.assertEqual(core.handle(now, Heard(1, content))[0], Dropped(why))
-        self.assertNotIn(Dropped("late"), core.handle(now, Heard(1, second)))
+            self.assertEqual(core.handle(now, MessageReceived(1, content))[0], Dropped(why))
+        self.assertNotIn(Dropped("late"), core.handle(now, MessageReceived(1, second)))
         for content in (second, first):  # again, and one that was overtaken
-            self.assertIn(Dropped("late"), core.handle(now, Heard(1, content)))
+            self.assertIn(Dropped("late"), core.handle(now, MessageReceived(1, content)))
 
     def test_a_flapping_link_is_no_failure(self) -> None:
         scene = self.scene()
@@ -274,7 +276,7 @@
         scene.stop(4)
         scene.run(2.2)
         self.assertIn("d", scene.states(0))
-        self.assertEqual(old.handle(scene.fabric.now, Quiet()), old.actions)
+        self.assertEqual(old.handle(scene.fabric.now, Superseded()), old.actions)
         self.assertEqual(words_of(old, scene.fabric.now + 5000.0), [])
         scene.start(4)
         scene.run(1.5)
@@ -285,7 +287,7 @@
         scene = self.scene()
         core, now = scene.core(0), scene.fabric.now
         word = words_of(scene.core(1), now + 150.0)[0]
-        actions = core.handle(now, Heard(2, word))  # the address of 2 claims number 1
+        actions = core.handle(now, MessageReceived(2, word))  # the address of 2 claims number 1
         self.assertIn(Dropped("clash"), actions)
         self.assertEqual(sum("not trusted" in a.why for a in actions if isinstance(a, Changed)), 2)
         core.handle(now + 200.0, Tick())
@@ -294,7 +296,7 @@
         self.assertEqual(trusted, [True, False, False, True, True, True])
         own = words_of(core, now + 400.0)[0]
         scene.core(3).handle(now, Tick())
-        said = scene.core(3).handle(now, Heard(4, dataclasses_number(own, 3)))
+        said = scene.core(3).handle(now, MessageReceived(4, dataclasses_number(own, 3)))
         self.assertTrue([a for a in said if isinstance(a, Changed) and a.number == 3])  # its own number is claimed
 
     def test_one_that_leaves_says_so_itself_and_that_life_is_over(self) -> None:
@@ -308,7 +310,7 @@
         scene.run(1.0)
         self.assertEqual({scene.states(number)[1 if number > 2 else 1] for number in (0, 1)}, {"l"})
         late = dataclasses.replace(decode(word) or Word(0, 0, 0, 0, 1), seq=1 << 20)
-        self.assertIn(Dropped("dead_life"), scene.core(0).handle(scene.fabric.now, Heard(2, encode(late))))
+        self.assertIn(Dropped("dead_life"), scene.core(0).handle(scene.fabric.now, MessageReceived(2, encode(late))))
         scene.start(2)
         scene.run(3.0)
         self.fine(scene)
@@ -322,7 +324,7 @@
         scene.core(4).news.times = {number: 9 for number in (1, 2, 3)}  # what else is new does not crowd it out
         scene.core(4).recipients.urgent, scene.core(4).recipients.told = [5], 0
         (word,) = words_of(scene.core(4), scene.fabric.now + 150.0)
-        scene.core(5).handle(scene.fabric.now + 150.0, Heard(4, word))
+        scene.core(5).handle(scene.fabric.now + 150.0, MessageReceived(4, word))
         self.assertNotIn("u", scene.states(5))
 
     def test_a_clock_that_went_back_between_two_starts_is_mended_by_what_the_others_know(self) -> None:
