--- a/petrelhall/accord/checks.py
+++ b/petrelhall/accord/checks.py
@@ -1,4 +1,4 @@
-"""A gateway's own checks of documents: why one cannot be served here, found once for each."""
+"""A gateway's own validation of documents, with the verdict on each document cached."""
 
 from __future__ import annotations
 
@@ -6,25 +6,25 @@
 
 from petrelhall.accord.documents import Documents
 
-KEPT = 64  # verdicts that are remembered
+MAX_VERDICTS = 64  # the cache is emptied when it is full
 
 
 class Checks:
-    """Runs the shell's check on documents that are held, and remembers the verdicts."""
+    """Runs the shell's check on documents held here and caches the verdicts."""
 
     def __init__(self, check: Callable[[bytes], str], documents: Documents) -> None:
         self.check, self.documents = check, documents
-        self.verdicts: dict[bytes, str] = {}  # by digest: why it cannot be served, empty where it can
+        self.verdicts: dict[bytes, str] = {}  # by digest: why it cannot be served; empty if it can
 
     def reason(self, digest: bytes) -> str:
-        """Say why a document cannot be served here, empty where it can; it must be held."""
-        found = self.verdicts.get(digest)
-        if found is None:
-            if len(self.verdicts) >= KEPT:
+        """Return why a document cannot be served here, or an empty string; the document must be held."""
+        verdict = self.verdicts.get(digest)
+        if verdict is None:
+            if len(self.verdicts) >= MAX_VERDICTS:
                 self.verdicts.clear()
-            found = self.verdicts[digest] = self.check(self.documents.held[digest])
-        return found
+            verdict = self.verdicts[digest] = self.check(self.documents.held[digest])
+        return verdict
 
     def invalidate(self) -> None:
-        """Check all anew, since what they are checked against has changed."""
+        """Discard all verdicts, since the settings that documents are checked against have changed."""
         self.verdicts.clear()
--- a/petrelhall/accord/decisions.py
+++ b/petrelhall/accord/decisions.py
@@ -1,4 +1,4 @@
-"""Hearing of decisions from other members, and telling them of those that are known here."""
+"""Learning decisions from other members, and announcing to them the decisions known here."""
 
 from __future__ import annotations
 
@@ -12,39 +12,46 @@
 
 
 class Decisions:
-    """Spreads decisions until every member is heard to know them."""
+    """Announces decisions until no member is known to serve an earlier version."""
 
     def __init__(self, core: Accord) -> None:
         self.core = core
-        self.announced_at = -math.inf  # when the last decision was last told
+        self.announced_at = -math.inf  # when the latest decision was last announced
 
     def on_decided(self, now: float, sender: int, message: words.Decided) -> None:
-        """Learn of decisions."""
+        """Learn the announced decisions, and request older ones that are still missing."""
         core = self.core
         for version, digest in message.history[:1]:
             core.learn(now, version, digest, sender)
-        before = len(core.history)
+        count_before = len(core.history)
         for version, digest in message.history:
-            core.history.remember(version, digest)
-        if len(core.history) > before and (missing := core.history.missing(core.known.version)) is not None:
+            core.history.add_earlier(version, digest)
+        if (
+            len(core.history) > count_before
+            and (missing := core.history.latest_missing(core.known.version)) is not None
+        ):
             core.outbox.send(sender, words.Older(core.life, missing))
         if (
             core.certain
             and message.history[:1] == ((core.known.version, core.known.digest),)
             and sender in core.pace.voters
-            and now - core.leases.asked.get(sender, -math.inf) >= core.pace.retry_ms / 2.0
+            and now - core.leases.requested_at.get(sender, -math.inf) >= core.pace.retry_ms / 2.0
         ):
-            core.leases.ask(now, frozenset((sender,)))  # it waits to be told that what was before is given back
+            # The voter waits to learn that this member has given back its lease on the earlier version.
+            core.leases.request(now, frozenset((sender,)))
 
     def on_older(self, now: float, sender: int, message: words.Older) -> None:
-        """Tell of earlier decisions."""
+        """Send the known decisions up to the requested version."""
         core = self.core
         found = [entry for entry in core.history if entry[0] <= message.version]
         if found:
             core.outbox.send(sender, words.Decided(core.life, tuple(found[: words.HISTORY])))
 
     def not_next_slot(self, now: float, sender: int, slot: int, before: bytes) -> bool:
-        """Learn what a message on a slot implies; True where the slot is one that is decided here, which is told."""
+        """Learn the decision that a message on a slot implies; return True unless the slot is the next to decide.
+
+        A sender that asks about a slot already decided here is sent the latest decisions.
+        """
         core = self.core
         core.learn(now, slot - 1, before, sender)
         if core.certain and slot <= core.known.version:
@@ -53,13 +60,13 @@
         return not core.certain or slot != core.known.version + 1
 
     def announce(self, now: float) -> None:
-        """Tell of a decision until all were heard to know it."""
+        """Announce the latest decision to the members that may still serve an earlier version."""
         core = self.core
         if core.certain and core.known.version and now - self.announced_at >= core.pace.retry_ms:
-            late = core.voter.earlier(now) if core.voter is not None else set()
-            if self.announced_at == -math.inf:  # who decided it tells all, once
-                late = set(range(core.pace.members))
+            outdated = core.voter.earlier(now) if core.voter is not None else set()
+            if self.announced_at == -math.inf:  # the proposer of the decision announces it to all members once
+                outdated = set(range(core.pace.members))
             self.announced_at = now
             message = words.Decided(core.life, core.history.latest(words.HISTORY))
-            for number in core.random.sample(sorted(late), len(late)):
+            for number in core.random.sample(sorted(outdated), len(outdated)):
                 core.outbox.send(number, message, float(len(core.pace.voters)))
--- a/petrelhall/accord/lease.py
+++ b/petrelhall/accord/lease.py
@@ -1,4 +1,7 @@
-"""What a member holds: a lease counts while a majority of voters has granted it, each from when it was asked."""
+"""A member's lease on the decided version.
+
+A lease is valid while a majority of voters has granted it; each grant runs from the time of the request it answers.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 from petrelhall.accord.plan import Pace
 from petrelhall.accord.words import EITHER, FULL
 
-KEPT = 16  # asks whose answers are still taken
+MAX_OPEN_REQUESTS = 16  # latest lease requests whose grants are still accepted
 
 
 class LeaseHolder:
@@ -16,34 +19,34 @@
     def __init__(self, pace: Pace) -> None:
         self.pace = pace
         self.nonce = 0
-        self.asked: dict[int, float] = {}  # by nonce: when
-        self.got: dict[int, dict[int, float]] = {FULL: {}, EITHER: {}}  # by kind and voter: until when
-        self.expires_at: dict[int, float] = {FULL: -math.inf, EITHER: -math.inf}
+        self.requested_at: dict[int, float] = {}  # by nonce
+        self.grants: dict[int, dict[int, float]] = {FULL: {}, EITHER: {}}  # by lease kind and voter: expiry time
+        self.expires_at: dict[int, float] = {FULL: -math.inf, EITHER: -math.inf}  # by lease kind
 
     def reset(self) -> None:
-        """Hold nothing: another version is asked for."""
-        self.asked.clear()
+        """Drop all grants and open requests, since leases are now requested on another version."""
+        self.requested_at.clear()
         for kind in (FULL, EITHER):
-            self.got[kind].clear()
+            self.grants[kind].clear()
             self.expires_at[kind] = -math.inf
 
     def new_request(self, now: float) -> int:
-        """Give the number of an ask made now."""
+        """Register a lease request made now and return its nonce."""
         self.nonce += 1
-        self.asked[self.nonce] = now
-        while len(self.asked) > KEPT:
-            del self.asked[next(iter(self.asked))]
+        self.requested_at[self.nonce] = now
+        while len(self.requested_at) > MAX_OPEN_REQUESTS:
+            del self.requested_at[next(iter(self.requested_at))]
         return self.nonce
 
     def add_grant(self, voter: int, nonce: int, kind: int, ms: float) -> bool:
-        """Take a grant in; False where it answers nothing that was asked for this version."""
-        asked = self.asked.get(nonce)
-        if asked is None or voter not in self.pace.voters or kind not in self.got:
+        """Record a voter's grant; return False if it answers no open request for this version."""
+        requested_at = self.requested_at.get(nonce)
+        if requested_at is None or voter not in self.pace.voters or kind not in self.grants:
             return False
-        for known in (FULL, EITHER) if kind == FULL else (EITHER,):  # a full lease is as good as the other
-            until = self.got[known]
-            until[voter] = max(until.get(voter, -math.inf), asked + min(ms, self.pace.life_ms))
-            ends = sorted(until.values(), reverse=True)
-            if len(ends) >= self.pace.majority:
-                self.expires_at[known] = ends[self.pace.majority - 1]
+        for covered in (FULL, EITHER) if kind == FULL else (EITHER,):  # a full lease includes the weaker kind
+            expiries = self.grants[covered]
+            expiries[voter] = max(expiries.get(voter, -math.inf), requested_at + min(ms, self.pace.life_ms))
+            latest_first = sorted(expiries.values(), reverse=True)
+            if len(latest_first) >= self.pace.majority:
+                self.expires_at[covered] = latest_first[self.pace.majority - 1]
         return True
--- a/petrelhall/accord/leases.py
+++ b/petrelhall/accord/leases.py
@@ -1,4 +1,4 @@
-"""Leases: asking for one on what is decided, granting them as a voter, and serving what one is held on."""
+"""Leases: requesting one on the decided version, granting them as a voter, and serving the version that is leased."""
 
 from __future__ import annotations
 
@@ -14,29 +14,28 @@
 
 
 class Leases:
-    """A member's own lease, and those that it grants where it votes."""
+    """A member's own lease, and the leases that it grants if it is a voter."""
 
     def __init__(self, core: Accord, now: float) -> None:
         self.core = core
         self.next_request_at = now
-        self.asked: dict[int, float] = {}  # by voter: when it was last asked for a lease
-        self.reported_versions: dict[
-            int, tuple[int, float]
-        ] = {}  # by member: the version that it last asked a lease on, when
+        self.requested_at: dict[int, float] = {}  # by voter: when a lease was last requested from it
+        # By member: the version of its last lease request, and when that request arrived.
+        self.reported_versions: dict[int, tuple[int, float]] = {}
 
     def renew(self, now: float) -> None:
-        """Ask for a lease on what is decided, again and again."""
+        """Request a lease on the decided version when the next request is due."""
         core = self.core
         if core.certain and now >= self.next_request_at:
-            self.ask(now, core.pace.voters)
-            missing = core.history.missing(core.known.version)
+            self.request(now, core.pace.voters)
+            missing = core.history.latest_missing(core.known.version)
             if missing is not None:
                 core.outbox.send(core.random.choice(sorted(core.pace.voters)), words.Older(core.life, missing))
-            holds = core.holder.expires_at[FULL] > now
-            self.next_request_at = now + (core.pace.ask_ms if holds else core.pace.again_ms)
+            holds_lease = core.holder.expires_at[FULL] > now
+            self.next_request_at = now + (core.pace.ask_ms if holds_lease else core.pace.again_ms)
 
-    def ask(self, now: float, voters: frozenset[int]) -> None:
-        """Ask for a lease, where the document is held and can be served here; else give back what was before."""
+    def request(self, now: float, voters: frozenset[int]) -> None:
+        """Request a lease if the decided document is held and can be served; else only give back earlier leases."""
         core = self.core
         digest = core.known.digest
         held = digest in core.documents.held
@@ -50,11 +49,11 @@
             digest,
             int(core.pace.life_ms),
             held and not reason,
-            self.before() is not None,
+            self.servable_previous() is not None,
         )
         self.reported_versions[core.number] = core.known.version, now
         for number in sorted(voters):
-            self.asked[number] = now
+            self.requested_at[number] = now
             core.outbox.send(number, ask)
         if core.voter is not None and core.number in voters:
             kind = core.voter.grant(now, core.number, ask)
@@ -62,26 +61,26 @@
                 core.holder.add_grant(core.number, ask.nonce, kind, float(ask.ms))
             self.grant_waiting(now)
 
-    def before(self) -> bytes | None:
-        """Give the digest of the version before the decided one, where its document is held and can be served."""
+    def servable_previous(self) -> bytes | None:
+        """Return the digest of the version before the decided one, if its document is held and can be served."""
         core = self.core
         digest = core.history.digest(core.known.version - 1)
         return digest if digest in core.documents.held and not core.checks.reason(digest) else None
 
     def on_ask(self, now: float, sender: int, message: words.Ask) -> None:
-        """Answer with a lease, or with what is decided."""
+        """Answer a lease request with a grant, or with the decided version."""
         core = self.core
         core.learn(now, message.version, message.digest, sender)
         self.reported_versions[sender] = message.version, now
         if core.voter is None:
             return
         kind = core.voter.grant(now, sender, message)
-        if kind != NONE or sender not in core.voter.waiting:  # one that waits is answered once there is an answer
+        if kind != NONE or sender not in core.voter.waiting:  # a waiting request is answered by grant_waiting
             self.answer(now, sender, message, kind)
         self.grant_waiting(now)
 
     def answer(self, now: float, to: int, ask: words.Ask, kind: int) -> None:
-        """Tell an asker what it got."""
+        """Report to the requesting member which kind of lease it was granted."""
         core = self.core
         assert core.voter is not None
         if to == core.number:
@@ -102,14 +101,14 @@
             )
 
     def grant_waiting(self, now: float) -> None:
-        """Grant to those that waited until this voter was clear of earlier versions."""
+        """Answer the waiting requests once no lease on an earlier version granted by this voter is outstanding."""
         core = self.core
         assert core.voter is not None
         for member, ask in core.voter.cleared(now):
             self.answer(now, member, ask, core.voter.grant(now, member, ask))
 
     def on_grant(self, now: float, sender: int, message: words.Grant) -> None:
-        """Take a lease in, or learn that another version is decided."""
+        """Record a grant, or learn that another version has been decided."""
         core = self.core
         core.learn(now, message.version, message.digest, sender)
         if message.version == core.known.version and message.kind != NONE:
@@ -117,27 +116,27 @@
                 core.outbox.actions.append(Dropped("late"))
 
     def serve(self, now: float) -> None:
-        """Serve what the lease is on."""
+        """Start serving the leased version, and update the changes that it completes."""
         core = self.core
         digest = core.known.digest
         if not core.certain or digest not in core.documents.held:
             return
         full = core.holder.expires_at[FULL] > now
-        before = None if full else self.before()
-        if not full and (before is None or core.holder.expires_at[EITHER] <= now):
+        previous = None if full else self.servable_previous()
+        if not full and (previous is None or core.holder.expires_at[EITHER] <= now):
             return
         core.kind = FULL if full else EITHER
-        wanted = core.known.version, digest, before
+        wanted = core.known.version, digest, previous
         if wanted != core.serving:
             core.serving = wanted
             held = core.documents.held
-            core.outbox.actions.append(Serve(core.known.version, held[digest], held[before] if before else None))
+            core.outbox.actions.append(Serve(core.known.version, held[digest], held[previous] if previous else None))
             for change in core.changes:
                 if not change.finished and change.slot <= core.known.version:
                     core.proposals.outcome(now, change)
 
     def members_behind(self, now: float) -> list[int]:
-        """Give the members that are not known to have the decided version, as far as this gateway hears."""
+        """Return the members not known to have the decided version, judged by lease requests received here."""
         core = self.core
         return [
             number
--- a/petrelhall/accord/outbox.py
+++ b/petrelhall/accord/outbox.py
@@ -1,4 +1,4 @@
-"""What the core answers in one turn, and the pace at which its messages may go out."""
+"""The actions that the core returns from one turn, and the rate limit on its outgoing messages."""
 
 from __future__ import annotations
 
@@ -8,32 +8,35 @@
 from petrelhall.accord.words import AnyWord
 from petrelhall.events import Dropped, Send
 
-BEHIND = 8  # messages that may go at once beyond the pace, for each voter
+BURST_PER_VOTER = 8  # messages that may be sent at once above the sustained rate, for each voter
 
 
 class Outbox:
-    """The actions of this turn, and a token bucket that bounds the messages among them."""
+    """The actions of the current turn, and a token bucket that limits the messages among them."""
 
     def __init__(self, number: int, pace: Pace, now: float) -> None:
         self.number, self.pace = number, pace
-        self.most = BEHIND * len(pace.voters) + 2.0 * pace.members
-        self.room, self.room_at = self.most, now
-        self.superseded = False  # a newer process of this member speaks
+        self.capacity = BURST_PER_VOTER * len(pace.voters) + 2.0 * pace.members
+        self.tokens, self.refilled_at = self.capacity, now
+        self.superseded = False  # a newer process of this member sends in its place
         self.actions: list[Action] = []
 
     def begin_turn(self, now: float) -> None:
-        """Begin with no actions, and with room for as many messages as the time since the last turn allows."""
+        """Start a turn without actions, and refill the token bucket for the time since the previous turn."""
         self.actions = []
-        self.room = min(self.most, self.room + (now - self.room_at) * self.pace.out_per_s / 1000.0)
-        self.room_at = now
+        self.tokens = min(self.capacity, self.tokens + (now - self.refilled_at) * self.pace.out_per_s / 1000.0)
+        self.refilled_at = now
 
     def send(self, to: int, message: AnyWord, reserve: float = 0.0) -> bool:
-        """Send a message, within the pace; what does not go now is sent again by whoever still needs it."""
+        """Queue a message unless fewer than ``reserve`` tokens would remain.
+
+        A message that is dropped here is not queued: whoever still needs it sends it again.
+        """
         if to == self.number or self.superseded:
             return False
-        if self.room < 1.0 + reserve:
+        if self.tokens < 1.0 + reserve:
             self.actions.append(Dropped("no_room"))
             return False
-        self.room -= 1.0
+        self.tokens -= 1.0
         self.actions.append(Send(to, words.encode(message, self.pace.members, len(self.pace.voters))))
         return True
--- a/petrelhall/events.py
+++ b/petrelhall/events.py
@@ -1,4 +1,4 @@
-"""Events and actions that the pure cores of membership, quotas and agreement have in common."""
+"""Events and actions shared by the pure cores of membership, quota sharing and policy consensus."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message came from the address of member ``sender``."""
+    """A message arrived from the address of member ``sender``."""
 
     sender: int
     content: bytes
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """A newer process of this member speaks from now on."""
+    """A newer process has taken over this member's number; this one must send no further messages."""
 
 
 # Actions
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send(Generic[Recipient]):
-    """Send a message to a member, or, where a core has such messages, to all (None)."""
+    """Send a message to a member, or broadcast it (None) where the core supports that."""
 
     to: Recipient
     content: bytes
@@ -41,6 +41,6 @@
 
 @dataclass(frozen=True, slots=True)
 class Dropped:
-    """A message was not taken or not sent; ``reason`` is counted."""
+    """A message was not accepted or not sent; the shell counts drops by ``reason``."""
 
     reason: str
