--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -23,9 +23,21 @@
 
 from petrelhall.accord import words
 from petrelhall.accord.change import Ballot, ballot_number
-from petrelhall.accord.core import Abort, Accord, Begin, Dropped, Heard, Keep, Propose, Quiet, Send, Settle, Tick
+from petrelhall.accord.core import (
+    Abort,
+    Accord,
+    Begin,
+    Dropped,
+    Keep,
+    MessageReceived,
+    Propose,
+    Send,
+    Settle,
+    Superseded,
+    Tick,
+)
 from petrelhall.accord.documents import DATA, KEPT, MOST_BYTES, Documents, digest_of
-from petrelhall.accord.lease import Holder
+from petrelhall.accord.lease import LeaseHolder
 from petrelhall.accord.plan import MARGIN, RHO, Pace, pace, voters_of
 from petrelhall.accord.votes import Memory, Voter, best
 from petrelhall.accord.words import EITHER, FULL, NONE, STEPS, Ask
@@ -128,30 +140,30 @@
         self.assertEqual(voter.grant(10.0, 0, self.make_ask(2, either=True, digest=b"d2")), NONE)
 
     def test_lease_runs_from_the_request_and_needs_a_majority_of_voters(self) -> None:
-        holder = Holder(PACE)
-        nonce = holder.ask(100.0)
-        self.assertTrue(holder.granted(0, nonce, FULL, 1000.0))
-        self.assertEqual(holder.until[FULL], -math.inf)
-        self.assertFalse(holder.granted(9, nonce, FULL, 1000.0))  # not a voter
-        self.assertFalse(holder.granted(1, nonce + 1, FULL, 1000.0))  # unknown nonce
-        self.assertTrue(holder.granted(1, nonce, EITHER, 1000.0))
-        self.assertEqual((holder.until[FULL], holder.until[EITHER]), (-math.inf, 1100.0))
-        self.assertTrue(holder.granted(2, nonce, FULL, 9999.0))
-        self.assertTrue(holder.granted(0, nonce, FULL, 9999.0))  # capped at the requested duration
-        self.assertEqual(holder.until[FULL], 1100.0)
-        holder.begin()
-        self.assertFalse(holder.granted(2, nonce, FULL, 1000.0))  # answers a request for the previous version
+        holder = LeaseHolder(PACE)
+        nonce = holder.new_request(100.0)
+        self.assertTrue(holder.add_grant(0, nonce, FULL, 1000.0))
+        self.assertEqual(holder.expires_at[FULL], -math.inf)
+        self.assertFalse(holder.add_grant(9, nonce, FULL, 1000.0))  # not a voter
+        self.assertFalse(holder.add_grant(1, nonce + 1, FULL, 1000.0))  # unknown nonce
+        self.assertTrue(holder.add_grant(1, nonce, EITHER, 1000.0))
+        self.assertEqual((holder.expires_at[FULL], holder.expires_at[EITHER]), (-math.inf, 1100.0))
+        self.assertTrue(holder.add_grant(2, nonce, FULL, 9999.0))
+        self.assertTrue(holder.add_grant(0, nonce, FULL, 9999.0))  # capped at the requested duration
+        self.assertEqual(holder.expires_at[FULL], 1100.0)
+        holder.reset()
+        self.assertFalse(holder.add_grant(2, nonce, FULL, 1000.0))  # answers a request for the previous version
 
     def test_clock_drift_within_the_bound_leaves_no_overlap_of_two_leases(self) -> None:
         self.assertGreater(PACE.life_ms * MARGIN / (1.0 + RHO), PACE.life_ms / (1.0 - RHO))
 
     def test_ballot_expires_and_ballot_numbers_are_unique_per_member_and_incarnation(self) -> None:
         ballot = Ballot(1, ballot_number(0, 2, 5), 0.0, b"own")
-        self.assertTrue(ballot.open(PACE.ballot_ms, PACE))
-        self.assertFalse(ballot.open(PACE.ballot_ms + 1.0, PACE))
-        ballot.promised(0, 0, b"", PACE)
+        self.assertTrue(ballot.is_open(PACE.ballot_ms, PACE))
+        self.assertFalse(ballot.is_open(PACE.ballot_ms + 1.0, PACE))
+        ballot.add_promise(0, 0, b"", PACE)
         self.assertEqual(ballot.value, b"")
-        ballot.promised(1, 3, b"accepted", PACE)
+        ballot.add_promise(1, 3, b"accepted", PACE)
         self.assertEqual(ballot.value, b"accepted")
         numbers = {
             ballot_number(after, member, incarnation)
@@ -294,7 +306,7 @@
         world.take(Turn("well", steps=40))
         self.assertEqual(self.served_versions(world)[:2], [1, 1])
         change = world.cores[0].changes[0]
-        self.assertLess(change.ended - change.began, MARGIN * FIVE_MEMBERS.life_ms + 1000.0)
+        self.assertLess(change.ended_at - change.started_at, MARGIN * FIVE_MEMBERS.life_ms + 1000.0)
         self.assertIn(2, world.cores[0].owed(world.clock(0)))
         world.now += 3_600_000.0  # it stays down for an hour
         world.start(2)
@@ -462,7 +474,7 @@
         before = [core.known for core in world.cores.values()]
         for receiver, sender, content in sent_messages:
             for replayed in (content, content[:9] + b"\xff" + content[10:]):
-                world.cores[receiver].handle(world.clock(receiver), Heard(sender, replayed))
+                world.cores[receiver].handle(world.clock(receiver), MessageReceived(sender, replayed))
         self.assertEqual([core.known for core in world.cores.values()], before)
         world.give = deliver  # type: ignore[method-assign]
         for _ in range(3):
@@ -474,7 +486,7 @@
         core = world.cores[0]
         now = world.clock(0)
         grant = words.Grant(9, core.life + 1, core.holder.nonce, FULL, 1000, 0, core.known.digest, b"")
-        actions = core.handle(now, Heard(1, words.encode(grant, 3, 3)))
+        actions = core.handle(now, MessageReceived(1, words.encode(grant, 3, 3)))
         self.assertIn(Dropped("other_life"), actions)
         for lateness_ms, version in ((PACE.ballot_ms + 1.0, 0), (0.0, 1)):
             core.ballot = Ballot(1, 77, now - lateness_ms, b"x", value=b"x")
@@ -518,7 +530,7 @@
     def test_voter_without_memory_persists_nothing_that_could_pass_for_one(self) -> None:
         core = Accord(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
         decided = words.encode(words.Decided(9, ((4, digest_of(b"four")),)), 3, 3)
-        actions = core.handle(1.0, Heard(1, decided))
+        actions = core.handle(1.0, MessageReceived(1, decided))
         self.assertEqual((core.known.version, [action for action in actions if isinstance(action, Keep)]), (4, []))
 
     def test_restarted_gateway_learns_the_outcomes_of_earlier_changes(self) -> None:
@@ -535,7 +547,7 @@
     def test_replaced_process_sends_nothing_and_serves_only_until_its_lease_expires(self) -> None:
         world = self.new_world()
         core, now = world.cores[0], world.clock(0)
-        self.assertEqual(core.handle(now, Quiet()), [])
+        self.assertEqual(core.handle(now, Superseded()), [])
         self.assertTrue(core.allowed(now))
         self.assertEqual(core.handle(now + 500.0, Tick()), [])
         self.assertFalse(core.allowed(now + PACE.life_ms))
