--- a/benchmarks/scale/subjects/discovery.py
+++ b/benchmarks/scale/subjects/discovery.py
@@ -38,11 +38,11 @@
 
 def watch() -> DiscoveryWatch:
     """Put the parts of a gateway that a list of servers goes through together as Program does."""
-    settings, loop, counts, fleet = gateway_settings(), Loop(silent), Counts(), ServerRegistry(ZONES)
+    settings, loop, counts, registry = gateway_settings(), Loop(silent), Counts(), ServerRegistry(ZONES)
     dispatcher = Dispatcher(loop, Gateway(settings, 1), counts, silent)
     plan = ConnectionPlan(Links(), CONNECTIONS, 30000.0, settings.cold_ms, GATEWAYS, 1)
-    ConnectionPool(loop, fleet, Platform(settings, ("read",), ("small", "large")), counts, plan, 250.0)
-    return DiscoveryWatch(loop, ("127.0.0.1", 1), fleet, dispatcher.dispatch, counts, silent)
+    ConnectionPool(loop, registry, Platform(settings, ("read",), ("small", "large")), counts, plan, 250.0)
+    return DiscoveryWatch(loop, ("127.0.0.1", 1), registry, dispatcher.dispatch, counts, silent)
 
 
 def body(listing: object) -> bytes:
--- a/petrelhall/gateway/membership.py
+++ b/petrelhall/gateway/membership.py
@@ -37,13 +37,13 @@
         platform: api.Settings,
         name: str,
         seed: int,
-        fleet: ServerRegistry,
+        registry: ServerRegistry,
         on_server_list: Callable[[api.ServerList], None],
         is_ready: Callable[[], bool],
         counts: Counts,
         log: Callable[[str], None],
     ) -> None:
-        self.loop, self.peers, self.fleet, self.on_server_list = loop, peers, fleet, on_server_list
+        self.loop, self.peers, self.registry, self.on_server_list = loop, peers, registry, on_server_list
         self.is_ready, self.counts, self.log = is_ready, counts, log
         now = now_ms()
         timing = pace(platform.gateways, platform.peer_messages_per_s, settings.share, settings.late_ms)
@@ -138,11 +138,11 @@
         self.core.accuse(own_reports)
         before = servers.out
         excluded = servers.pool(
-            now, self.fleet.healthy | before, self.core.accusers(now), own_reports, self.core.pace.observers
+            now, self.registry.healthy | before, self.core.accusers(now), own_reports, self.core.pace.observers
         )
         if excluded != before:
-            self.fleet.excluded = excluded
+            self.registry.excluded = excluded
             for server in sorted(excluded ^ before):
                 self.counts.add("members", "boxes_left_out" if server in excluded else "boxes_back")
                 self.log_change({"box": server, "state": "left out" if server in excluded else "back"})
-            self.on_server_list(self.fleet.reassign_pools())
+            self.on_server_list(self.registry.reassign_pools())
--- a/petrelhall/gateway/mgmt.py
+++ b/petrelhall/gateway/mgmt.py
@@ -58,19 +58,19 @@
         self,
         loop: Loop,
         address: Address,
-        fleet: ServerRegistry,
+        registry: ServerRegistry,
         is_ready: Callable[[], bool],
         on_server_list: Callable[[api.ServerList], None],
         counts: Counts,
         log: Callable[[str], None],
         gateway: str,
     ) -> None:
-        self.loop, self.fleet, self.is_ready, self.on_server_list = loop, fleet, is_ready, on_server_list
+        self.loop, self.registry, self.is_ready, self.on_server_list = loop, registry, is_ready, on_server_list
         self.counts, self.log = counts, log
         self.connections: list[ManagementConnection] = []  # oldest first
         self.views: dict[str, Callable[[], Any]] = {}  # read-only views of the enabled subsystems, by name
         self.policy: Callable[[Policy, bytes], tuple[int, dict[str, Any]]] | None = None
-        fleet.exclusions.gateway = gateway
+        registry.exclusions.gateway = gateway
         self.path = os.path.join(tempfile.gettempdir(), f"petrelhall-{gateway}-servers-out.json")
         self.file_state: tuple[int, int, int] | None = None  # inode, size and mtime when last read or written
         self.load_exclusions(notify=False)
@@ -168,13 +168,13 @@
             return 404
         if call.view:
             return 200 if call.view in self.views else 404
-        if call.server not in self.fleet.known_ids and call.server not in self.fleet.exclusions.marks:
+        if call.server not in self.registry.known_ids and call.server not in self.registry.exclusions.marks:
             return 404
         self.load_exclusions()  # the other process of an upgrade may have received a later call
-        if self.fleet.exclusions.say(call.server, call.out, now_ms()):
+        if self.registry.exclusions.say(call.server, call.out, now_ms()):
             self.log(f"server {call.server} {'taken offline' if call.out else 'put back online'} by an operator")
             self.save_exclusions()
-            self.on_server_list(self.fleet.reassign_pools())
+            self.on_server_list(self.registry.reassign_pools())
         return 200
 
     # The file of excluded servers
@@ -194,11 +194,11 @@
             return self.log(f"excluded servers: cannot read {self.path}: {os.strerror(error.errno or 0)}")
         self.file_state = file_state
         try:
-            exclusions = decode(data, self.fleet.exclusions.gateway)
+            exclusions = decode(data, self.registry.exclusions.gateway)
         except BansError as error:
             return self.log(f"excluded servers: {self.path} ignored: {error}")
-        if self.fleet.exclusions.merge(exclusions) and notify:
-            self.on_server_list(self.fleet.reassign_pools())
+        if self.registry.exclusions.merge(exclusions) and notify:
+            self.on_server_list(self.registry.reassign_pools())
 
     def poll_file(self) -> None:
         """Check the file for changes at a fixed interval."""
@@ -208,7 +208,7 @@
     def save_exclusions(self) -> None:
         """Write the file atomically, so that a reader never sees part of it."""
         try:
-            write_atomically(self.path, self.fleet.exclusions.encode())
+            write_atomically(self.path, self.registry.exclusions.encode())
             stat = os.stat(self.path)
             self.file_state = stat.st_ino, stat.st_size, stat.st_mtime_ns
         except OSError as error:  # the exclusion still applies in this process
--- a/petrelhall/gateway/program.py
+++ b/petrelhall/gateway/program.py
@@ -58,7 +58,7 @@
     def __init__(self, config: Config, log: Log, operator_settings: File, operator_path: str = "") -> None:
         self.config, self.log = config, log
         self.operator_settings, self.operator_path = operator_settings, operator_path
-        self.loop, self.counts, self.fleet = Loop(log), Counts(), ServerRegistry(config.zone_names)
+        self.loop, self.counts, self.registry = Loop(log), Counts(), ServerRegistry(config.zone_names)
         self.stopping = self.serving = False
         self.counter: CounterClient | None = None
         self.install_signal_handlers()  # before anyone can connect: an unhandled signal would kill the process
@@ -81,18 +81,18 @@
         )
         body_budget = BodyBudget(config.memory_mb)
         self.pool = ConnectionPool(
-            self.loop, self.fleet, platform, self.counts, connection_plan, config.connect_timeout_ms, body_budget
+            self.loop, self.registry, platform, self.counts, connection_plan, config.connect_timeout_ms, body_budget
         )
         request_handler = RequestHandler(
             self.loop, self.dispatcher.dispatch, self.pool, self.counts, settings.max_retry_after_ms
         )
         self.dispatcher.handle_request_action = request_handler.deliver
         self.request_handler = request_handler
-        self.shifter: TrafficShifter | None = None
+        self.traffic_shifter: TrafficShifter | None = None
         self.peers: Peers | None = None
         self.membership: Membership | None = None
-        self.sharing: QuotaSharing | None = None
-        self.agreement: PolicyConsensus | ConfigurationLearner | None = None
+        self.quota_sharing: QuotaSharing | None = None
+        self.policy_source: PolicyConsensus | ConfigurationLearner | None = None
         problem = self.policy_problem(operator_settings.shared)
         if problem:
             raise OperatorError(f"{operator_path}: shared.{problem}")
@@ -119,37 +119,39 @@
             self.mgmt = Management(
                 self.loop,
                 config.mgmt,
-                self.fleet,
+                self.registry,
                 self.report_ready,
                 self.dispatcher.dispatch,
                 self.counts,
                 log.write,
                 config.name,
             )
-            self.dispatcher.dispatch(self.fleet.reassign_pools())  # apply exclusions made before this process started
+            self.dispatcher.dispatch(
+                self.registry.reassign_pools()
+            )  # apply exclusions made before this process started
             if self.membership is not None:
                 self.mgmt.views["members"] = self.membership.view
-            if self.sharing is not None:
-                self.mgmt.views["quota"] = self.sharing.view
+            if self.quota_sharing is not None:
+                self.mgmt.views["quota"] = self.quota_sharing.view
             self.add_policy_calls(self.mgmt)
         handover_poll_ms = MANAGED_POLL_MS if config.mgmt is not None else DEFAULT_POLL_MS
         self.handover.watch(self.loop, handover_poll_ms, self.is_ready, self.hand_over, self.take_snapshot)
 
     def add_policy_calls(self, mgmt: Management) -> None:
         """Register the management calls that show the shared policy and, with consensus on, change it."""
-        if self.agreement is None:
+        if self.policy_source is None:
             return
         if self.operator_settings.distribution.on:
-            mgmt.views["configuration"] = self.agreement.view
+            mgmt.views["configuration"] = self.policy_source.view
             return
         from petrelhall.gateway.agreement import PolicyConsensus
 
-        if isinstance(self.agreement, PolicyConsensus):
-            mgmt.views["policy"], mgmt.policy = self.agreement.view, self.agreement.call
+        if isinstance(self.policy_source, PolicyConsensus):
+            mgmt.views["policy"], mgmt.policy = self.policy_source.view, self.policy_source.call
 
     def is_ready(self) -> bool:
         """Return whether this process takes clients: it listens, is not shutting down and has servers listed."""
-        return not self.stopping and self.serving and not self.listener.closing and bool(self.fleet.addresses)
+        return not self.stopping and self.serving and not self.listener.closing and bool(self.registry.addresses)
 
     def is_healthy(self) -> bool:
         """Return the result of the clients' health check: false until the policy in force has been learnt once.
@@ -157,8 +159,8 @@
         During an upgrade the new process does not wait for the policy: the process that it replaces answers health
         checks at the same address and is serving.
         """
-        policy_known = self.agreement is None or self.agreement.was_ready or self.handover.joined
-        return bool(self.fleet.addresses) and policy_known
+        policy_known = self.policy_source is None or self.policy_source.was_ready or self.handover.joined
+        return bool(self.registry.addresses) and policy_known
 
     def report_ready(self) -> bool:
         """Answer the operators' readiness call; the process being replaced is notified before the answer is sent."""
@@ -216,7 +218,7 @@
                     config.settings,
                     config.name,
                     config.seed,
-                    self.fleet,
+                    self.registry,
                     on_event,
                     self.is_ready,
                     self.counts,
@@ -226,7 +228,7 @@
             if self.operator_settings.accord.on and self.has_peer_network():
                 from petrelhall.gateway.agreement import PolicyConsensus
 
-                self.agreement = PolicyConsensus(
+                self.policy_source = PolicyConsensus(
                     self.loop,
                     self.peers,
                     self.operator_settings.accord,
@@ -239,13 +241,13 @@
                     self.counts,
                     self.log.write,
                 )
-                self.request_handler.policy_gate = self.agreement
+                self.request_handler.policy_gate = self.policy_source
         if self.operator_settings.distribution.on:
             self.start_configuration_learner()
         if self.operator_settings.quota.on:
             from petrelhall.gateway.sharing import QuotaSharing
 
-            self.sharing = QuotaSharing(
+            self.quota_sharing = QuotaSharing(
                 self.loop,
                 self.peers,
                 self.operator_settings.quota,
@@ -255,9 +257,9 @@
                 self.counts,
                 config.counter if config.settings.counter else None,
             )
-            self.module.quota_owner = self.sharing
+            self.module.quota_owner = self.quota_sharing
             if self.membership is not None:
-                self.sharing.ledger.reachable = self.membership.reachable
+                self.quota_sharing.ledger.reachable = self.membership.reachable
         if config.settings.counter and config.counter:
             self.counter = self.open_counter(config.counter)
 
@@ -266,7 +268,7 @@
         from petrelhall.gateway.learning import ConfigurationLearner
 
         config = self.config
-        self.agreement = ConfigurationLearner(
+        self.policy_source = ConfigurationLearner(
             self.loop,
             self.operator_settings.distribution,
             config.settings,
@@ -276,7 +278,7 @@
             self.counts,
             self.log.write,
         )
-        self.request_handler.policy_gate = self.agreement
+        self.request_handler.policy_gate = self.policy_source
 
     def policy_problem(self, shared: Shared) -> str:
         """Return why this gateway cannot serve a shared policy; empty if it can."""
@@ -301,14 +303,14 @@
     def configure_shifter(self) -> None:
         """Apply the operators' pools and move; the shifting module is imported only if they have set any."""
         settings = shift_of(*self.policy_in_force, self.operator_settings)
-        if self.shifter is None:
+        if self.traffic_shifter is None:
             if settings is None:
                 return
             from petrelhall.gateway.shifting import TrafficShifter
 
-            self.shifter = TrafficShifter(
+            self.traffic_shifter = TrafficShifter(
                 self.loop,
-                self.fleet,
+                self.registry,
                 self.pool.plan,
                 self.dispatcher.dispatch,
                 self.counts,
@@ -317,12 +319,12 @@
                 self.config.plans,
             )
             if self.peers is not None:
-                self.shifter.to_peers, self.peers.datagram_handlers[SHIFT_KIND[0]] = (
+                self.traffic_shifter.to_peers, self.peers.datagram_handlers[SHIFT_KIND[0]] = (
                     self.peers.send,
-                    self.shifter.on_peer_message,
+                    self.traffic_shifter.on_peer_message,
                 )
-        self.shifter.configure(settings)
-        self.request_handler.pool_router = self.shifter if settings is not None else None
+        self.traffic_shifter.configure(settings)
+        self.request_handler.pool_router = self.traffic_shifter if settings is not None else None
 
     def open_counter(self, address: Address) -> CounterClient:
         """Direct counter calls to an address."""
@@ -335,11 +337,11 @@
         """Start from the last known server list, if the configuration has one, then follow discovery."""
         try:
             if self.config.known_servers is not None:
-                self.dispatcher.dispatch(self.fleet.apply(self.config.known_servers, "cached"))
+                self.dispatcher.dispatch(self.registry.apply(self.config.known_servers, "cached"))
         except (ValueError, TypeError) as error:
             raise ConfigError(f"config.known: {error}") from error
         self.discovery_watch = DiscoveryWatch(
-            self.loop, self.config.discovery, self.fleet, self.dispatcher.dispatch, self.counts, self.log
+            self.loop, self.config.discovery, self.registry, self.dispatcher.dispatch, self.counts, self.log
         )
 
     def reload(self) -> None:
@@ -347,10 +349,10 @@
         try:
             new_config = load(os.environ, reloading=True)
             new_operator = read(self.operator_path) if self.operator_path else self.operator_settings
-            if self.agreement is not None and new_operator.shared != self.operator_settings.shared:
-                changed_by = self.agreement.change_command
+            if self.policy_source is not None and new_operator.shared != self.operator_settings.shared:
+                change_command = self.policy_source.change_command
                 self.log.write(
-                    f"operators' file: `shared` can only be changed by `{changed_by}`; keeping the old value"
+                    f"operators' file: `shared` can only be changed by `{change_command}`; keeping the old value"
                 )
                 new_operator = msgspec.structs.replace(new_operator, shared=self.operator_settings.shared)
             problem = refused(
@@ -369,10 +371,10 @@
                     self.log.write(f"operators' file: changes of {section} take effect at the next start")
             self.operator_settings = new_operator
             self.pool.plan.configure(new_operator.links)
-            if self.agreement is None:
+            if self.policy_source is None:
                 self.apply_policy(new_operator.shared, None)
             else:
-                self.agreement.on_operator_file_changed()
+                self.policy_source.on_operator_file_changed()
             self.configure_shifter()
             self.log.write(f"operators' file taken over: {', '.join(changes)}")
         if new_config.discovery != self.discovery_watch.address:
@@ -380,8 +382,8 @@
         if self.counter is not None and new_config.counter is not None and new_config.counter != self.counter.address:
             self.counter.retire()
             self.counter = self.open_counter(new_config.counter)
-        if self.sharing is not None and new_config.counter is not None:
-            self.sharing.set_counter_address(new_config.counter)
+        if self.quota_sharing is not None and new_config.counter is not None:
+            self.quota_sharing.set_counter_address(new_config.counter)
 
     def install_signal_handlers(self) -> None:
         """Have signals wake the event loop, which reads their numbers from a pipe."""
@@ -405,7 +407,7 @@
         # The exit has begun: another SIGTERM would kill the process during the interpreter's own shutdown.
         signal.signal(signal.SIGTERM, signal.SIG_IGN)
         self.log.write(str(self.counts))
-        for line in self.pool.describe()[:1] + (self.shifter.describe() if self.shifter else []):
+        for line in self.pool.describe()[:1] + (self.traffic_shifter.describe() if self.traffic_shifter else []):
             self.log.write(line)
 
     def on_signals(self, numbers: bytes) -> None:
@@ -413,7 +415,7 @@
         for number in numbers:
             if number == signal.SIGUSR1:
                 self.log.write(str(self.counts))
-                for line in self.pool.describe() + (self.shifter.describe() if self.shifter else []):
+                for line in self.pool.describe() + (self.traffic_shifter.describe() if self.traffic_shifter else []):
                     self.log.write(line)
             elif number == signal.SIGHUP:
                 self.loop.guard(self.reload)
@@ -452,10 +454,10 @@
         """Leave new connections and peer messages to a newer process that is ready; exit with the last client."""
         if self.membership is not None:
             self.membership.hand_over()
-        if self.sharing is not None:
-            self.sharing.hand_over()
-        if self.agreement is not None:
-            self.agreement.hand_over()
+        if self.quota_sharing is not None:
+            self.quota_sharing.hand_over()
+        if self.policy_source is not None:
+            self.policy_source.hand_over()
         if self.peers is not None:
             self.peers.stop_receiving()
         self.listener.hand_over()
--- a/petrelhall/gateway/requests.py
+++ b/petrelhall/gateway/requests.py
@@ -89,7 +89,7 @@
         message: Any,
         until: float,
         stopped: Callable[[], bool],
-        free: bool = True,
+        repeatable: bool = True,
         write_by: float = math.inf,
     ) -> Steps[AttemptResult]:
         """Make one attempt, not written after ``write_by``; ``free`` says that running it twice does no harm."""
@@ -155,9 +155,14 @@
     """Connects requests with the decision module and the servers."""
 
     def __init__(
-        self, loop: Loop, tell: Callable[[api.Event], None], servers: Servers, counts: Counts, retry_after_ms: float
+        self,
+        loop: Loop,
+        handle_event: Callable[[api.Event], None],
+        servers: Servers,
+        counts: Counts,
+        retry_after_ms: float,
     ) -> None:
-        self.loop, self.tell, self.servers, self.counts = loop, tell, servers, counts
+        self.loop, self.handle_event, self.servers, self.counts = loop, handle_event, servers, counts
         self.retry_after_ms = retry_after_ms
         self.policy_gate: PolicyGate | None = None  # None: the policy is this gateway's own
         self.pool_router: PoolRouter | None = None  # None: any request may go to any server
@@ -192,7 +197,7 @@
         try:
             answer = yield from self.process(in_flight, request, caller)
         except Exception:
-            self.tell(api.ClientGone(in_flight.id))  # or the module would keep the request for ever
+            self.handle_event(api.ClientGone(in_flight.id))  # or the module would keep the request for ever
             raise
         finally:
             del self.requests_in_flight[in_flight.id]
@@ -211,7 +216,7 @@
                 return None if caller.gone else self.refuse_undecided()
             request = dataclasses.replace(request, remaining_ms=max(1.0, deadline - now_ms()))
         pools = self.pool_router.pools(request) if self.pool_router is not None else ()
-        self.tell(
+        self.handle_event(
             api.Arrival(
                 in_flight.id,
                 request.request_class,
@@ -240,7 +245,7 @@
                 if self.policy_gate is not None and not attempts and not isinstance(action, ModuleFault):
                     if not self.policy_gate.holds(in_flight.epoch):  # the policy changed between decision and admission
                         if isinstance(action, api.Send):
-                            self.tell(api.Outcome(in_flight.id, 0, action.server, Ending.MOOT, 0.0, True))
+                            self.handle_event(api.Outcome(in_flight.id, 0, action.server, Ending.MOOT, 0.0, True))
                         return self.refuse_undecided()
                     if isinstance(action, api.Send):
                         self.policy_gate.admitted(request)
@@ -252,7 +257,7 @@
                     return Failed("no attempt was served")
                 if isinstance(action, ModuleFault):
                     # The module raised an exception or lost the request: the client gets an answer all the same.
-                    self.tell(api.ClientGone(in_flight.id))
+                    self.handle_event(api.ClientGone(in_flight.id))
                     self.counts.add("answered", "without_the_module")
                     return Failed("internal error") if may_have_run else Refused(self.retry_after_ms)
                 if isinstance(action, api.Cancel):
@@ -273,12 +278,12 @@
                 may_have_run |= result.progress > AttemptProgress.UNWRITTEN and result.ending is not Ending.FULL
                 gone, shutting_down = caller.gone, now_ms() >= self.answer_by  # read once, for a consistent view below
                 if gone:  # reported before the attempt's outcome, so that the module starts no further attempt
-                    self.tell(api.ClientGone(in_flight.id))
+                    self.handle_event(api.ClientGone(in_flight.id))
                 served = result.ending is Ending.OK
                 started_at = max(
                     started_at, result.body_sent_at
                 )  # a client's slow upload must not count as server latency
-                self.tell(
+                self.handle_event(
                     api.Outcome(
                         in_flight.id,
                         attempts,
@@ -310,8 +315,8 @@
         """
         for action in in_flight.actions:
             if isinstance(action, api.Send):
-                self.tell(api.Outcome(in_flight.id, attempts, action.server, Ending.MOOT, 0.0, True))
-        self.tell(api.ClientGone(in_flight.id))
+                self.handle_event(api.Outcome(in_flight.id, attempts, action.server, Ending.MOOT, 0.0, True))
+        self.handle_event(api.ClientGone(in_flight.id))
 
     def answer_at_shutdown(self, may_have_run: bool) -> Answer:
         """Answer a request whose process ends before the request's deadline."""
--- a/petrelhall/gateway/shifting.py
+++ b/petrelhall/gateway/shifting.py
@@ -41,7 +41,7 @@
     def __init__(
         self,
         loop: Loop,
-        fleet: ServerRegistry,
+        registry: ServerRegistry,
         connection_plan: ConnectionPlan,
         on_event: Callable[[api.Event], None],
         counts: Counts,
@@ -49,7 +49,7 @@
         classes: tuple[str, ...],
         plans: tuple[str, ...],
     ) -> None:
-        self.loop, self.fleet, self.connection_plan, self.on_event = loop, fleet, connection_plan, on_event
+        self.loop, self.registry, self.connection_plan, self.on_event = loop, registry, connection_plan, on_event
         self.counts, self.log = counts, log
         self.classes, self.plans = classes, plans
         self.settings: Shift | None = None
@@ -70,7 +70,7 @@
             return
         previous, self.settings = self.mover, settings
         self.pool_rules = Pools(settings) if settings is not None else None
-        self.fleet.pool_of = self.assign_pool if self.pool_rules is not None else (lambda entry: "")
+        self.registry.pool_of = self.assign_pool if self.pool_rules is not None else (lambda entry: "")
         self.reported_servers.clear()
         self.pool_by_server.clear()
         move = settings.move if settings is not None else None
@@ -84,8 +84,8 @@
             previous.told(move)
         else:
             self.mover = Mover(move, max(1, len(self.classes)))
-        if self.fleet.entries:
-            self.on_event(self.fleet.reassign_pools())
+        if self.registry.entries:
+            self.on_event(self.registry.reassign_pools())
         if self.timer is None and self.mover is not None:
             self.tick()
 
@@ -178,11 +178,11 @@
         self.timer = self.loop.after(TICK_MS, self.tick)
         self.write_records(mover)
         now = now_ms()
-        if len(self.pool_by_server) > 2 * len(self.fleet.entries) + 100:  # drop servers that are no longer listed
+        if len(self.pool_by_server) > 2 * len(self.registry.entries) + 100:  # drop servers that are no longer listed
             self.pool_by_server = {
-                server: pool for server, pool in self.pool_by_server.items() if server in self.fleet.entries
+                server: pool for server, pool in self.pool_by_server.items() if server in self.registry.entries
             }
-        usable_pools = {self.pool_by_server.get(server) for server in self.fleet.healthy}
+        usable_pools = {self.pool_by_server.get(server) for server in self.registry.healthy}
         pools_ready = mover.move.source in usable_pools and mover.move.target in usable_pools
         transitions = mover.look(now, now / 1000.0, pools_ready)
         for transition in transitions:
--- a/petrelhall/hollow/fleet.py
+++ b/petrelhall/hollow/fleet.py
@@ -118,9 +118,9 @@
 
     def observe(self, gateway: HollowGateway, sampled: bool = False) -> None:
         """Write down what a gateway holds for decided and what it would admit a request under."""
-        if gateway.agreement is None:  # its consensus is just being put together
+        if gateway.policy_consensus is None:  # its consensus is just being put together
             return
-        now, core = now_ms(), gateway.agreement.core
+        now, core = now_ms(), gateway.policy_consensus.core
         if core.certain and self.known.get(gateway.number) != core.known.version:
             self.known[gateway.number] = core.known.version
             digest = core.known.digest.hex()
--- a/petrelhall/hollow/gateway.py
+++ b/petrelhall/hollow/gateway.py
@@ -66,7 +66,7 @@
         self.loop, self.number, self.counts = loop, number, Counts()
         self.peers = MeteredPeers(loop, number, self.counts)
         self.name = f"hollow-{os.getpid()}-{number}"
-        self.agreement: PolicyConsensus | None = None
+        self.policy_consensus: PolicyConsensus | None = None
         self.membership: Membership | None = None
         self.ended = False
 
@@ -93,7 +93,7 @@
                 self.counts,
                 lambda line: None,
             )
-        self.agreement = PolicyConsensus(
+        self.policy_consensus = PolicyConsensus(
             self.loop,
             self.peers,
             consensus,
@@ -110,14 +110,14 @@
     @property
     def running(self) -> PolicyConsensus:
         """Give the consensus shell of a gateway that was started."""
-        assert self.agreement is not None
-        return self.agreement
+        assert self.policy_consensus is not None
+        return self.policy_consensus
 
     def served(self) -> tuple[int, str] | None:
         """Give version and digest under which a request would be admitted now; None where it would be refused."""
-        agreement = self.running
-        serving = agreement.core.serving
-        if serving is None or not agreement.holds():
+        policy_consensus = self.running
+        serving = policy_consensus.core.serving
+        if serving is None or not policy_consensus.holds():
             return None
         return serving[0], serving[1].hex()
 
@@ -132,16 +132,16 @@
         self.peers.on_module_datagram = None
         if self.membership is not None:
             self.membership.ended = True
-        if self.agreement is not None:
-            self.agreement.ended = True
+        if self.policy_consensus is not None:
+            self.policy_consensus.ended = True
 
     def close(self) -> None:
         """Give back what is held of the machine."""
         self.fall_silent()
         self.loop.unregister(self.peers.sock.fileno())
         self.peers.sock.close()
-        if self.agreement is not None and self.agreement.lock_fd is not None:
-            os.close(self.agreement.lock_fd)
-            self.agreement.lock_fd = None
+        if self.policy_consensus is not None and self.policy_consensus.lock_fd is not None:
+            os.close(self.policy_consensus.lock_fd)
+            self.policy_consensus.lock_fd = None
             with contextlib.suppress(OSError):
                 os.unlink(os.path.join(tempfile.gettempdir(), f"petrelhall-{self.name}-votes.lock"))
--- a/petrelhall/links/plan.py
+++ b/petrelhall/links/plan.py
@@ -44,7 +44,7 @@
     """All connections of one gateway. ``closing`` lists connections to close, with the cause."""
 
     def __init__(
-        self, settings: Links, room: int, idle_ms: float, cold_ms: float = 0.0, gateways: int = 1, seed: int = 0
+        self, settings: Links, capacity: int, idle_ms: float, cold_ms: float = 0.0, gateways: int = 1, seed: int = 0
     ) -> None:
         rng = random.Random(seed)
         self.seed = seed
@@ -52,7 +52,7 @@
         self.window_started_at = 0.0
         self.first_listed_at = 0.0
         self.inventory = inventory = Inventory()
-        self.bounds = Bounds(settings, room, inventory)
+        self.bounds = Bounds(settings, capacity, inventory)
         self.slow_start = SlowStart(settings, cold_ms, max(1, gateways), rng)
         self.staleness = StalenessTracker(settings, idle_ms, inventory, self.slow_start)
         self.reuse = ReusePolicy(settings.reuse, inventory, self.staleness)
--- a/petrelhall/links/pool.py
+++ b/petrelhall/links/pool.py
@@ -58,20 +58,20 @@
     def __init__(
         self,
         loop: Loop,
-        fleet: ServerList,
+        registry: ServerList,
         codec: RequestCodec,
         counts: Counts,
         plan: ConnectionPlan,
         connect_ms: float,
-        room: BodyBudget | None = None,
+        body_budget: BodyBudget | None = None,
     ) -> None:
-        self.room = room or BodyBudget(0.0)  # memory budget for streamed bodies
-        self.loop, self.fleet, self.codec, self.counts, self.plan = loop, fleet, codec, counts, plan
+        self.body_budget = body_budget or BodyBudget(0.0)  # memory budget for streamed bodies
+        self.loop, self.registry, self.codec, self.counts, self.plan = loop, registry, codec, counts, plan
         self.connect_ms = connect_ms
         self.waiters: dict[
             str, dict[object, Callable[[], object]]
         ] = {}  # callbacks of requests waiting for a connection, by server id
-        fleet.on_change = self.sync_servers
+        registry.on_change = self.sync_servers
         self.sync_servers()
         loop.after(TICK_MS, self.tick)
 
@@ -214,7 +214,7 @@
                 if len(stream.outgoing) < unsent:
                     stall_deadline = now_ms() + BODY_STALL_TIMEOUT_MS
                 unsent = len(stream.outgoing)
-                if unsent < self.room.bytes_per_stream:
+                if unsent < self.body_budget.bytes_per_stream:
                     chunk = remaining_body.read()
                     if isinstance(chunk, HttpError):
                         return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, chunk.reason)
@@ -476,12 +476,14 @@
 
     def sync_servers(self) -> None:
         """Update the plan from the server list."""
-        healthy = set(self.fleet.healthy)
+        healthy = set(self.registry.healthy)
         for server_id in [server_id for server_id in self.plan.servers if server_id not in healthy]:
             self.plan.remove_server(server_id)
         now = now_ms()
         for server_id in healthy:
-            self.plan.add_server(now, server_id, self.fleet.addresses[server_id], self.fleet.started.get(server_id))
+            self.plan.add_server(
+                now, server_id, self.registry.addresses[server_id], self.registry.started.get(server_id)
+            )
         self.loop.after(0.0, self.close_retired)
 
     def describe(self) -> list[str]:
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -848,7 +848,7 @@
                 if meanwhile is not None:
                     meanwhile()
 
-        request_handler.tell = tell
+        request_handler.handle_event = tell
 
         class Stays:
             gone = False
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -39,21 +39,21 @@
     """The memory budget for bodies, and how it is shared."""
 
     def test_bodies_are_buffered_within_the_budget_and_release_it(self) -> None:
-        room = BodyBudget(60.0)
+        body_budget = BodyBudget(60.0)
         buffered = []
-        while room.reserve(MAX_BUFFERED_BODY_BYTES, 0):
+        while body_budget.reserve(MAX_BUFFERED_BODY_BYTES, 0):
             buffered.append(MAX_BUFFERED_BODY_BYTES)
         self.assertEqual(len(buffered), 3)  # 0.3 of 30 MB is available, and each body counts three times (its copies)
         self.assertFalse(BodyBudget(500.0).reserve(1, MAX_BUFFERED_BODY_BYTES))
-        room.release(MAX_BUFFERED_BODY_BYTES)
-        self.assertTrue(room.reserve(MAX_BUFFERED_BODY_BYTES, 0))
+        body_budget.release(MAX_BUFFERED_BODY_BYTES)
+        self.assertTrue(body_budget.reserve(MAX_BUFFERED_BODY_BYTES, 0))
 
     def test_buffer_of_each_streamed_body_shrinks_with_their_number(self) -> None:
-        room = BodyBudget(40.0)
-        self.assertEqual(room.bytes_per_stream, MAX_STREAM_BYTES)
-        room.active_streams = 100
-        self.assertLessEqual(MIN_STREAM_BYTES, room.bytes_per_stream)
-        self.assertLessEqual(2 * 100 * room.bytes_per_stream, 4 << 20)
+        body_budget = BodyBudget(40.0)
+        self.assertEqual(body_budget.bytes_per_stream, MAX_STREAM_BYTES)
+        body_budget.active_streams = 100
+        self.assertLessEqual(MIN_STREAM_BYTES, body_budget.bytes_per_stream)
+        self.assertLessEqual(2 * 100 * body_budget.bytes_per_stream, 4 << 20)
 
 
 class StreamResetTest(unittest.TestCase):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -68,25 +68,25 @@
                 decode(data, "n0")
 
     def test_an_excluded_server_drains_whatever_discovery_lists_and_returns_cold(self) -> None:
-        fleet = ServerRegistry(("a",))
+        registry = ServerRegistry(("a",))
         listing = {
             "version": 1,
             "full": True,
             "servers": [server_entry("s0", "127.0.0.1:9"), server_entry("s1", "127.0.0.1:8")],
         }
-        fleet.apply(listing)
-        fleet.exclusions.say("s0", True, 1000.0)
-        phases = {server.address: server.phase for server in fleet.apply(listing).servers}
+        registry.apply(listing)
+        registry.exclusions.say("s0", True, 1000.0)
+        phases = {server.address: server.phase for server in registry.apply(listing).servers}
         self.assertEqual(phases, {"s0": "cordoned", "s1": "healthy"})
-        self.assertNotIn("s0", fleet.healthy)
-        fleet.exclusions.say("s0", False, 5000.0)
-        returned_servers = {server.address: server for server in fleet.apply(listing).servers}
+        self.assertNotIn("s0", registry.healthy)
+        registry.exclusions.say("s0", False, 5000.0)
+        returned_servers = {server.address: server for server in registry.apply(listing).servers}
         self.assertEqual(
             (returned_servers["s0"].phase, returned_servers["s0"].since_ms, returned_servers["s1"].since_ms),
             ("healthy", 5000.0, 0.0),
         )
-        self.assertEqual(fleet.started["s0"], 5000.0)
-        self.assertEqual(fleet.known_ids, {"s0", "s1"})
+        self.assertEqual(registry.started["s0"], 5000.0)
+        self.assertEqual(registry.known_ids, {"s0", "s1"})
 
 
 def call_status(address: tuple[str, int], method: str, path: str) -> int:
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -627,10 +627,12 @@
             socket.create_server(("127.0.0.1", 0), backlog=0) as server,
             socket.create_connection(server.getsockname()),
         ):  # the accept queue is full, so the connection attempt stays pending
-            fleet = ServerRegistry(("a",))
-            fleet.apply({"version": 1, "full": True, "servers": [server_entry("s0", format_address(server))]})
+            registry = ServerRegistry(("a",))
+            registry.apply({"version": 1, "full": True, "servers": [server_entry("s0", format_address(server))]})
             platform = Platform(read_settings(TEST_SETTINGS), ("view", "change"), ("plan",))
-            pool = ConnectionPool(self.loop, fleet, platform, self.counts, ConnectionPlan(Links(), 10, 30000.0), 5000.0)
+            pool = ConnectionPool(
+                self.loop, registry, platform, self.counts, ConnectionPlan(Links(), 10, 30000.0), 5000.0
+            )
             results: list[Any] = []
 
             def attempt() -> Any:
@@ -639,7 +641,7 @@
             self.loop.spawn(attempt())
             self.run_loop_until(lambda: pool.open)
             drained_entry = server_entry("s0", format_address(server), "Terminating")
-            fleet.apply({"version": 2, "full": False, "servers": [drained_entry]})
+            registry.apply({"version": 2, "full": False, "servers": [drained_entry]})
             server.accept()[0].close()  # frees the queue, so the connection is established
             self.run_loop_until(lambda: results)
             self.assertEqual(results[0].progress, AttemptProgress.UNWRITTEN)
@@ -673,10 +675,14 @@
 
     def test_attempt_whose_message_cannot_be_encoded_ends_as_not_written(self) -> None:
         with open_listener() as server:
-            fleet = ServerRegistry(("a",))
-            fleet.apply({"version": 1, "full": True, "servers": [server_entry("s0", format_address(server), "Ready")]})
+            registry = ServerRegistry(("a",))
+            registry.apply(
+                {"version": 1, "full": True, "servers": [server_entry("s0", format_address(server), "Ready")]}
+            )
             platform = Platform(read_settings(TEST_SETTINGS), ("view", "change"), ("plan",))
-            pool = ConnectionPool(self.loop, fleet, platform, self.counts, ConnectionPlan(Links(), 10, 30000.0), 250.0)
+            pool = ConnectionPool(
+                self.loop, registry, platform, self.counts, ConnectionPlan(Links(), 10, 30000.0), 250.0
+            )
             results: list[Any] = []
 
             def attempt() -> Any:
@@ -714,18 +720,18 @@
             self.assertEqual(platform.parse_load_report(b"LOAD inflight=" + value), {}, value)
 
     def test_servers_in_an_unknown_state_are_cordoned_and_gone_ones_deregistered(self) -> None:
-        fleet = ServerRegistry(("a", "b"))
+        registry = ServerRegistry(("a", "b"))
         states = ("Ready", "Ready", "Odd")
         entries = [server_entry(f"s{index}", f"127.0.0.1:{index + 1}", state) for index, state in enumerate(states)]
         entries[1]["zone"] = "b"
-        update = fleet.apply({"version": 1, "full": True, "servers": entries})
+        update = registry.apply({"version": 1, "full": True, "servers": entries})
         phases_and_zones = [(server.phase, server.zone) for server in update.servers]
         self.assertEqual(phases_and_zones, [("healthy", 0), ("healthy", 1), ("cordoned", 0)])
-        update = fleet.apply({"version": 2, "full": False, "servers": [{"id": "s0", "state": "Gone"}]})
+        update = registry.apply({"version": 2, "full": False, "servers": [{"id": "s0", "state": "Gone"}]})
         self.assertEqual(
             [(server_state.address, server_state.phase) for server_state in update.servers], [("s0", "deregistered")]
         )
-        self.assertEqual(fleet.healthy, {"s1"})
+        self.assertEqual(registry.healthy, {"s1"})
 
     def test_actions_caused_by_an_action_run_after_the_ones_before_them(self) -> None:
         class ScriptedModule:
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -137,7 +137,7 @@
 
     def plan(
         self,
-        room: int = 100,
+        capacity: int = 100,
         servers: int = 1,
         started: float | None = 0.0,
         idle_ms: float = 30000.0,
@@ -146,7 +146,7 @@
         now: float = T0,
         **settings: object,
     ) -> ConnectionPlan:
-        plan = ConnectionPlan(Links(**settings), room, idle_ms, 10000.0, gateways, seed)  # type: ignore[arg-type]
+        plan = ConnectionPlan(Links(**settings), capacity, idle_ms, 10000.0, gateways, seed)  # type: ignore[arg-type]
         for number in range(servers):
             plan.add_server(now, f"b{number}", ("127.0.0.1", 1000 + number), started)
         return plan
@@ -178,7 +178,7 @@
     """How many connections there may be."""
 
     def test_a_thousand_requests_on_a_new_gateway_open_no_more_than_the_bound_on_opening(self) -> None:
-        plan = self.plan(room=2000, servers=4, per_box=500)
+        plan = self.plan(capacity=2000, servers=4, per_box=500)
         results = [plan.acquire(T0, f"b{number % 4}", True) for number in range(1000)]
         self.assertEqual(sum(isinstance(result, ConnectionRecord) for result in results), 64)
         self.assertTrue(all(isinstance(result, ConnectionRecord | Wait) for result in results))
@@ -191,7 +191,7 @@
         self.assertEqual(plan.acquire(T0, "b0", True), Wait(WAIT_RETRY_MS, "box_bound"))
 
     def test_200_servers_share_the_connections_that_256_descriptors_allow(self) -> None:
-        plan = self.plan(room=80, servers=200)
+        plan = self.plan(capacity=80, servers=200)
         for number in range(2000):
             link = self.take_busy(plan, T0 + number, f"b{number % 200}")
             self.answer_and_release(plan, T0 + number, link)
@@ -217,7 +217,7 @@
         self.assertEqual((plan.open, len(plan.closing)), (4, 4))
 
     def test_running_out_of_descriptors_lowers_the_total_bound_which_grows_again(self) -> None:
-        plan = self.plan(room=100, servers=2)
+        plan = self.plan(capacity=100, servers=2)
         for _ in range(10):
             self.take_busy(plan)
         link = plan.acquire(T0, "b1", True)
@@ -564,11 +564,11 @@
 
     @initialize(
         per_box=st.integers(2, 6),
-        room=st.integers(4, 12),
+        capacity=st.integers(4, 12),
         reuse=st.sampled_from(("last_used", "oldest", "least_used")),
         ahead=st.integers(0, 1),
     )
-    def start(self, per_box: int, room: int, reuse: str, ahead: int) -> None:
+    def start(self, per_box: int, capacity: int, reuse: str, ahead: int) -> None:
         self.links = Links(
             per_box=per_box,
             reuse=reuse,
@@ -579,8 +579,8 @@
             max_uses=20,
             warm_up_ms=500.0,
         )
-        self.room, self.now = room, T0
-        self.plan = ConnectionPlan(self.links, room, 3000.0, 2000.0, 2, 7)
+        self.capacity, self.now = capacity, T0
+        self.plan = ConnectionPlan(self.links, capacity, 3000.0, 2000.0, 2, 7)
         self.opening: list[ConnectionRecord] = []
         self.busy: list[ConnectionRecord] = []
         self.idle: list[ConnectionRecord] = []
@@ -686,7 +686,7 @@
         assert set(plan.idle) == set(self.idle)
         servers = [*plan.servers.values(), *plan.draining.values()]
         assert sum(server.open for server in servers) == plan.open
-        assert plan.open <= self.room
+        assert plan.open <= self.capacity
         assert all(link.server.listed for link in self.idle)
         for server in plan.servers.values():
             opening = [link for link in self.opening if link.server is server]
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -67,14 +67,14 @@
         self.stack = contextlib.ExitStack()
         self.addCleanup(self.stack.close)
         self.log_lines: list[str] = []
-        self.loop, self.counts, self.fleet = Loop(self.log_lines.append), Counts(), ServerRegistry(("a",))
+        self.loop, self.counts, self.registry = Loop(self.log_lines.append), Counts(), ServerRegistry(("a",))
         self.server = self.stack.enter_context(open_listener())
         self.server.setblocking(False)
-        self.fleet.apply({"version": 1, "full": True, "servers": [server_entry("s0", format_address(self.server))]})
+        self.registry.apply({"version": 1, "full": True, "servers": [server_entry("s0", format_address(self.server))]})
         self.settings = read_settings(TEST_SETTINGS)
         self.platform = Platform(self.settings, ("view", "change"), ("plan",))
         self.plan = ConnectionPlan(Links(), 10, 30000.0)
-        self.pool = ConnectionPool(self.loop, self.fleet, self.platform, self.counts, self.plan, 5000.0)
+        self.pool = ConnectionPool(self.loop, self.registry, self.platform, self.counts, self.plan, 5000.0)
         self.results: list[Any] = []
 
     def start_gateway(self, max_connections: int = 20) -> Listener:
@@ -84,7 +84,7 @@
         self.request_handler = RequestHandler(self.loop, dispatcher.dispatch, self.pool, self.counts, 700.0)
         dispatcher.handle_request_action = self.request_handler.deliver
         dispatcher.dispatch(Started())
-        dispatcher.dispatch(self.fleet.reassign_pools())
+        dispatcher.dispatch(self.registry.reassign_pools())
         gateway_listener = Listener(
             self.loop,
             ("127.0.0.1", 0),
@@ -174,7 +174,7 @@
             socket.create_connection(server.getsockname()),
         ):
             self.server = server
-            self.fleet.apply({"version": 2, "full": True, "servers": [server_entry("s0", format_address(server))]})
+            self.registry.apply({"version": 2, "full": True, "servers": [server_entry("s0", format_address(server))]})
             yield
             server.settimeout(WAIT_TIMEOUT_S)
             server.accept()[0].close()
@@ -208,7 +208,7 @@
             socket.create_server(("127.0.0.1", 0), backlog=0) as server,
             socket.create_connection(server.getsockname()),
         ):
-            self.fleet.apply({"version": 2, "full": True, "servers": [server_entry("s0", format_address(server))]})
+            self.registry.apply({"version": 2, "full": True, "servers": [server_entry("s0", format_address(server))]})
             self.start_attempt(time_left_ms=60.0)
             self.turn_until(lambda: self.results)
         self.assertEqual((self.results[0].ending, self.results[0].progress), (Ending.MOOT, AttemptProgress.UNWRITTEN))
@@ -391,7 +391,7 @@
     def test_the_decision_module_drops_an_attempt_whose_client_left_before_it_was_sent(self) -> None:
         gateway_listener = self.start_gateway()
         client = self.client(build_request())
-        module = gateway_listener.request_handler.tell.__self__.module
+        module = gateway_listener.request_handler.handle_event.__self__.module
         original_deliver = gateway_listener.request_handler.deliver
 
         def close_client_first(action: Any) -> None:
@@ -400,7 +400,7 @@
                 connection.stream.end(0)  # the close is seen after the decision and before the attempt starts
             original_deliver(action)
 
-        gateway_listener.request_handler.tell.__self__.handle_request_action = close_client_first
+        gateway_listener.request_handler.handle_event.__self__.handle_request_action = close_client_first
         self.turn_until(lambda: self.counts.get("answered", "client_left"))
         self.assertEqual((module.in_flight, module.open_attempts, module.servers["s0"].open_attempts), ({}, 0.0, 0.0))
         self.assertAlmostEqual(module.customers["00000000b4d65521"].shared_bucket, 1000.0, places=0)
@@ -508,7 +508,7 @@
         management = Management(
             self.loop,
             ("127.0.0.1", 0),
-            self.fleet,
+            self.registry,
             lambda: True,
             lambda news: None,
             self.counts,
@@ -574,7 +574,12 @@
         connect = discovery.connect
         self.patch(discovery, connect=lambda *values: connect_errors.pop() if connect_errors else connect(*values))
         watch = DiscoveryWatch(
-            self.loop, discovery_server.getsockname(), self.fleet, reported.append, self.counts, self.log_lines.append
+            self.loop,
+            discovery_server.getsockname(),
+            self.registry,
+            reported.append,
+            self.counts,
+            self.log_lines.append,
         )
         self.addCleanup(watch.task.steps.close)
         connection = self.accept()
@@ -594,13 +599,13 @@
         self.read(new_connection, b"after=2")
         listing = {"version": 3, "full": False, "servers": [server_entry("s9", "127.0.0.1:9")]}
         new_connection.sendall(build_response(json.dumps(listing, indent=2).encode()))
-        self.turn_until(lambda: "s9" in self.fleet.addresses)
+        self.turn_until(lambda: "s9" in self.registry.addresses)
         self.assertLess(now_ms() - started_at, max_staleness_ms())
 
     def test_gateways_that_lost_discovery_together_do_not_poll_in_step(self) -> None:
         watches = [
             DiscoveryWatch(
-                self.loop, ("127.0.0.1", 9), self.fleet, lambda news: None, self.counts, self.log_lines.append
+                self.loop, ("127.0.0.1", 9), self.registry, lambda news: None, self.counts, self.log_lines.append
             )
             for _ in range(50)
         ]
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -46,23 +46,23 @@
         self.server_socket = open_listener()
         self.addCleanup(self.server_socket.close)
         self.server_socket.setblocking(False)
-        self.fleet = ServerRegistry(("a",))
+        self.registry = ServerRegistry(("a",))
         self.results: list[Any] = []
         self.accepted: list[socket.socket] = []
         self.addCleanup(lambda: [sock.close() for sock in self.accepted])
 
     def pool(self, **links: Any) -> ConnectionPool:
-        self.fleet.apply(
+        self.registry.apply(
             {"version": 1, "full": True, "servers": [server_entry("s0", format_address(self.server_socket))]}
         )
         platform = Platform(read_settings(TEST_SETTINGS), ("view", "change"), ("plan",))
         self.plan = ConnectionPlan(Links(**links), 10, 30000.0)
-        return ConnectionPool(self.loop, self.fleet, platform, self.counts, self.plan, 500.0)
+        return ConnectionPool(self.loop, self.registry, platform, self.counts, self.plan, 500.0)
 
-    def attempt(self, pool: ConnectionPool, within_ms: float = 5000.0, free: bool = True) -> None:
+    def attempt(self, pool: ConnectionPool, within_ms: float = 5000.0, repeatable: bool = True) -> None:
         def steps() -> Any:
             until = now_ms() + within_ms
-            self.results.append((yield from pool.attempt("s0", ASKED, until, lambda: False, free)))
+            self.results.append((yield from pool.attempt("s0", ASKED, until, lambda: False, repeatable)))
 
         self.addCleanup(self.loop.spawn(steps()).steps.close)
 
@@ -180,7 +180,7 @@
             self.attempt(pool, 8000.0)
             self.turn_until(lambda: pool.open)
             drains = server_entry("s0", format_address(server), "Terminating")
-            self.fleet.apply({"version": 2, "full": False, "servers": [drains]})
+            self.registry.apply({"version": 2, "full": False, "servers": [drains]})
             server.settimeout(WAIT_TIMEOUT_S)
             server.accept()[0].close()  # space in the queue: the connection is established
             self.turn_until(lambda: self.results)
@@ -200,7 +200,7 @@
         self.turn_until(lambda: len(self.results) == 3)
         self.assertEqual(self.results[2].ending, Ending.TIMEOUT)
         self.assertEqual(self.plan.counts["doubted"], 1)
-        self.attempt(pool, free=False)
+        self.attempt(pool, repeatable=False)
         self.accept()  # a new connection, although one is idle
         self.assertEqual(self.plan.counts["opened.needed"], 3)
 
--- a/tests/test_shift.py
+++ b/tests/test_shift.py
@@ -435,19 +435,19 @@
         self.assertLess(names.count("Send"), 5)
 
     def test_a_list_that_is_labelled_anew_keeps_its_boxes(self) -> None:
-        fleet = ServerRegistry(("a",))
-        fleet.apply(
+        registry = ServerRegistry(("a",))
+        registry.apply(
             {
                 "version": 3,
                 "full": True,
                 "servers": [server_entry("s0", "127.0.0.1:1"), server_entry("s1", "127.0.0.1:2")],
             }
         )
-        fleet.pool_of = lambda box: "p" if box["id"] == "s0" else None
-        news = fleet.reassign_pools()
+        registry.pool_of = lambda box: "p" if box["id"] == "s0" else None
+        news = registry.reassign_pools()
         told = [(server.pool, server.phase) for server in news.servers]
         self.assertEqual(told, [("p", "healthy"), ("", "cordoned")])
-        self.assertEqual((fleet.healthy, fleet.version), ({"s0"}, 3))
+        self.assertEqual((registry.healthy, registry.version), ({"s0"}, 3))
 
 
 class Wiring(unittest.TestCase):
@@ -457,8 +457,8 @@
         self.told: list[Any] = []
         self.notes: list[str] = []
         self.sent: list[bytes] = []
-        self.loop, self.counts, self.fleet = Loop(self.notes.append), Counts(), ServerRegistry(("a",))
-        self.fleet.apply(
+        self.loop, self.counts, self.registry = Loop(self.notes.append), Counts(), ServerRegistry(("a",))
+        self.registry.apply(
             {
                 "version": 1,
                 "full": True,
@@ -475,7 +475,7 @@
     def shifter_of_a_gateway(self) -> TrafficShifter:
         shifter = TrafficShifter(
             self.loop,
-            self.fleet,
+            self.registry,
             self.plan,
             self.told.append,
             self.counts,
