--- a/petrelhall/gateway/config.py
+++ b/petrelhall/gateway/config.py
@@ -33,7 +33,7 @@
     peers: tuple[Address, ...]
     peers_all: Address | None
     counter: Address | None
-    known_servers: Any  # discovery's last response, not yet validated; parsed by the fleet
+    known_servers: Any  # discovery's last response, not yet validated; parsed by the server registry
     settings: api.Settings
     zone_names: tuple[str, ...]  # by zone number
     classes: tuple[str, ...]  # names, by class number
--- a/petrelhall/gateway/dispatch.py
+++ b/petrelhall/gateway/dispatch.py
@@ -33,7 +33,7 @@
         self.loop, self.module, self.counts, self.log = loop, module, counts, log
         self.queued_events: deque[api.Event] = deque()
         self.dispatching = False
-        self.handle_request_action: Callable[[RequestAction], None] = lambda order: None
+        self.handle_request_action: Callable[[RequestAction], None] = lambda action: None
         self.send_to_peers: Callable[[bytes, tuple[int, ...]], None] = lambda content, to: None
         self.add_to_counter: Callable[[int, float, float], None] | None = None
 
--- a/petrelhall/gateway/front.py
+++ b/petrelhall/gateway/front.py
@@ -83,8 +83,8 @@
 class Client:
     """One client connection."""
 
-    def __init__(self, stream: Stream, body_budget: BodyBudget, vet: Callable[[HttpRequest], object]) -> None:
-        self.stream, self.http = stream, HttpServerConnection(stream, body_budget, vet)
+    def __init__(self, stream: Stream, body_budget: BodyBudget, check_head: Callable[[HttpRequest], object]) -> None:
+        self.stream, self.http = stream, HttpServerConnection(stream, body_budget, check_head)
         # A request is in flight; any request was answered; the first byte of the next request has arrived.
         self.busy = self.answered = self.request_started = False
         self.idle_since = now_ms()  # when it connected, or was last answered
@@ -116,14 +116,14 @@
         address: Address,
         codec: ClientCodec,
         request_handler: RequestHandler,
-        is_ready: Callable[[], bool],
+        is_healthy: Callable[[], bool],
         counts: Counts,
         log: Callable[[str], None],
         max_clients: int,
         body_budget: BodyBudget,
     ) -> None:
         self.body_budget = body_budget  # memory for request bodies and large answers
-        self.loop, self.codec, self.request_handler, self.is_ready = loop, codec, request_handler, is_ready
+        self.loop, self.codec, self.request_handler, self.is_healthy = loop, codec, request_handler, is_healthy
         self.counts, self.log, self.max_clients = counts, log, max_clients
         self.clients: set[Client] = set()
         self.request_ids: set[bytes] = set()  # of the requests in flight
@@ -266,7 +266,7 @@
         client.busy = True
         answer: Answer | HttpError | None
         if isinstance(received, HttpRequest) and received.target.partition(b"?")[0] == HEALTH_PATH:
-            status, body = (200, b"ready\n") if self.is_ready() and not self.draining else (503, b"not ready\n")
+            status, body = (200, b"ready\n") if self.is_healthy() and not self.draining else (503, b"not ready\n")
             keep_alive = client.http.send_response(status, [], body, self.draining)
         else:
             request = self.codec.parse_request(received) if isinstance(received, HttpRequest) else received
--- a/petrelhall/gateway/handover.py
+++ b/petrelhall/gateway/handover.py
@@ -126,8 +126,7 @@
     def write_ready_marker(self) -> None:
         """Write the ready marker atomically, once; if that fails, the old process drains only on SIGTERM.
 
-        It is written before anyone is told that this process is ready, since the old process may then get SIGTERM at
-        once.
+        It is written before readiness is reported to anyone, since the old process may then get SIGTERM at once.
         """
         if not self.marker_written:
             self.marker_written = True  # also if the write fails: a read-only directory stays read-only
--- a/petrelhall/gateway/platform.py
+++ b/petrelhall/gateway/platform.py
@@ -20,8 +20,9 @@
 METERING_FORMS = {b"units": DECIMAL_FORM, b"spread": INTEGER_FORM, b"first": INTEGER_FORM}
 CUSTOMER_FORM = re.compile(rb"[0-9a-fA-F]{16}")
 CUSTOMER_CODE_LIMIT = 2**33
+# Headers that must not be repeated.
 SINGLE_VALUED_HEADERS = frozenset(
-    (  # headers that must not be repeated
+    (
         b"host",
         b"x-request-id",
         b"x-class",
--- a/petrelhall/gateway/requests.py
+++ b/petrelhall/gateway/requests.py
@@ -85,14 +85,14 @@
 
     def attempt(
         self,
-        server: str,
+        server_id: str,
         message: Any,
-        until: float,
-        stopped: Callable[[], bool],
+        deadline: float,
+        is_cancelled: Callable[[], bool],
         repeatable: bool = True,
         write_by: float = math.inf,
     ) -> Steps[AttemptResult]:
-        """Make one attempt, not written after ``write_by``; ``free`` says that running it twice does no harm."""
+        """Make one attempt, not written after ``write_by``; ``repeatable``: running it twice does no harm."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -280,9 +280,8 @@
                 if gone:  # reported before the attempt's outcome, so that the module starts no further attempt
                     self.handle_event(api.ClientGone(in_flight.id))
                 served = result.ending is Ending.OK
-                started_at = max(
-                    started_at, result.body_sent_at
-                )  # a client's slow upload must not count as server latency
+                # A client's slow upload must not count as server latency.
+                started_at = max(started_at, result.body_sent_at)
                 self.handle_event(
                     api.Outcome(
                         in_flight.id,
--- a/petrelhall/http/h1.py
+++ b/petrelhall/http/h1.py
@@ -361,7 +361,7 @@
                     self.interim = 0
                     length = content_length(self.headers)
                     if ambiguous_framing(self.headers):
-                        return HttpError(502, "answer whose end is told in two ways")
+                        return HttpError(502, "response with ambiguous framing")
                     if (length or 0) > MAX_RESPONSE_BODY_BYTES:
                         return HttpError(502, "answer too large")
                     if (length or 0) > max_bytes:
--- a/petrelhall/links/opening.py
+++ b/petrelhall/links/opening.py
@@ -26,10 +26,10 @@
     """Starts new connections, within the bounds and at the rate that a server's slow start allows."""
 
     def __init__(
-        self, settings: Links, inventory: Inventory, bounds: Bounds, slow_start: SlowStart, draw: random.Random
+        self, settings: Links, inventory: Inventory, bounds: Bounds, slow_start: SlowStart, rng: random.Random
     ) -> None:
         self.settings, self.inventory, self.bounds, self.slow_start = settings, inventory, bounds, slow_start
-        self.random = draw
+        self.rng = rng
 
     def required_wait(self, now: float, server: ServerConnections) -> Wait | None:
         """Return how long and why no connection to a server may be opened, or None if one may be opened now.
@@ -61,7 +61,7 @@
     def begin(self, now: float, server: ServerConnections, preconnected: bool) -> ConnectionRecord:
         """Count a new connection, which the connection pool now starts to open."""
         inventory = self.inventory
-        link = ConnectionRecord(server, now, preconnected)
+        record = ConnectionRecord(server, now, preconnected)
         server.opening += 1
         inventory.opening += 1
         inventory.open += 1
@@ -72,14 +72,14 @@
         server.peak_open = max(server.peak_open, server.open)
         inventory.counts["opened.ahead" if preconnected else "opened.needed"] += 1
         if self.settings.max_age_s:
-            link.expires_at = now + 1000.0 * self.settings.max_age_s * self.jitter()
+            record.expires_at = now + 1000.0 * self.settings.max_age_s * self.jitter()
         if self.settings.max_uses:
-            link.max_uses = max(1, int(self.settings.max_uses * self.jitter()))
-        return link
+            record.max_uses = max(1, int(self.settings.max_uses * self.jitter()))
+        return record
 
     def jitter(self) -> float:
         """Return a random factor close to 1."""
-        return 1.0 + RETIREMENT_JITTER * (2.0 * self.random.random() - 1.0)
+        return 1.0 + RETIREMENT_JITTER * (2.0 * self.rng.random() - 1.0)
 
     def preconnect(self, now: float, server: ServerConnections, preconnected: list[ConnectionRecord]) -> None:
         """Open one spare connection beyond a server's recent use, where requests had to wait for new connections.
@@ -101,10 +101,10 @@
         if self.required_wait(now, server) is None:
             preconnected.append(self.begin(now, server, True))
 
-    def record_unused(self, now: float, link: ConnectionRecord) -> None:
+    def record_unused(self, now: float, record: ConnectionRecord) -> None:
         """Record a connection that ended; if it was preconnected and never used, pause, longer each time."""
-        if link.preconnected and not link.uses:
-            server = link.server
+        if record.preconnected and not record.uses:
+            server = record.server
             server.preconnect_allowed_at = now + min(
                 MAX_PRECONNECT_PAUSE_MS, PRECONNECT_PAUSE_MS * 2.0 ** min(10, server.wasted_preconnects)
             )
--- a/petrelhall/links/plan.py
+++ b/petrelhall/links/plan.py
@@ -232,9 +232,8 @@
         if record.idle_ms < 0.0:
             server.survival.record_fresh_use(now, True)
             if server.busy + len(server.idle) > 1 and now - server.last_response_at < ALIVE_AFTER_RESPONSE_MS:
-                self.bounds.lower(
-                    now, server, server.busy + len(server.idle) - 1
-                )  # accepted and then closed: over its connection limit
+                # Accepted and then closed: the server is over its connection limit.
+                self.bounds.lower(now, server, server.busy + len(server.idle) - 1)
             return
         server.stale_count += 1
         self.counts["stale"] += 1
@@ -281,9 +280,8 @@
             cause, keep = "age", False
         elif record.max_uses and record.uses >= record.max_uses:
             cause, keep = "uses", False
-        elif (
-            server.open + 1 > server.bound or self.inventory.open > self.bounds.total
-        ):  # the server no longer counts this one
+        # ``server.open`` no longer includes this connection, hence the + 1.
+        elif server.open + 1 > server.bound or self.inventory.open > self.bounds.total:
             cause, keep = "bound", False
         if not keep:
             self.inventory.mark_closed(record)
@@ -328,7 +326,7 @@
         new_window = now - self.window_started_at >= PEAK_WINDOW_MS
         if new_window:
             self.window_started_at = now
-        ahead: list[ConnectionRecord] = []
+        preconnected: list[ConnectionRecord] = []
         limit_updates_left = MAX_LIMIT_UPDATES_PER_TICK
         for server in self.servers.values():
             if server.unsettled_deaths and now - server.unsettled_deaths[0][0] >= DEATH_SPAN_MS:
@@ -343,9 +341,9 @@
             if server.warm_up_at <= now:
                 server.warm_up_at = NEVER
                 if not server.open and self.opener.required_wait(now, server) is None:
-                    ahead.append(self.opener.begin(now, server, True))
+                    preconnected.append(self.opener.begin(now, server, True))
             elif server.idle_misses > 1 and self.settings.ahead:  # a single miss is a first use or chance
-                self.opener.preconnect(now, server, ahead)
+                self.opener.preconnect(now, server, preconnected)
             if new_window:
                 server.previous_peak_in_use, server.peak_in_use, server.idle_misses, server.rest_waits = (
                     server.peak_in_use,
@@ -353,7 +351,7 @@
                     0,
                     0,
                 )
-        return ahead
+        return preconnected
 
     # Diagnostics
 
--- a/petrelhall/links/pool.py
+++ b/petrelhall/links/pool.py
@@ -62,15 +62,14 @@
         codec: RequestCodec,
         counts: Counts,
         plan: ConnectionPlan,
-        connect_ms: float,
+        connect_timeout_ms: float,
         body_budget: BodyBudget | None = None,
     ) -> None:
         self.body_budget = body_budget or BodyBudget(0.0)  # memory budget for streamed bodies
         self.loop, self.registry, self.codec, self.counts, self.plan = loop, registry, codec, counts, plan
-        self.connect_ms = connect_ms
-        self.waiters: dict[
-            str, dict[object, Callable[[], object]]
-        ] = {}  # callbacks of requests waiting for a connection, by server id
+        self.connect_timeout_ms = connect_timeout_ms
+        # Callbacks of requests waiting for a connection, by server id.
+        self.waiters: dict[str, dict[object, Callable[[], object]]] = {}
         registry.on_change = self.sync_servers
         self.sync_servers()
         loop.after(TICK_MS, self.tick)
@@ -100,7 +99,7 @@
             return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "no time left")
         remaining_body = self.codec.rest(message)
         if remaining_body is not None and remaining_body.consumed:  # a streamed body cannot be sent again
-            return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "its body was passed on already")
+            return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "request body was already streamed")
         connection: Connection | AttemptResult | None = None
         record = self.plan.acquire(now_ms(), server_id, repeatable)
         if isinstance(record, ConnectionRecord) and not self.plan.closing:
@@ -179,7 +178,7 @@
         if not record.server.listed:
             return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "drained before it was sent")
         if is_cancelled():
-            return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "called off before it was sent")
+            return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "cancelled before it was sent")
         now = now_ms()
         if now >= deadline:
             return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "no time left when it could be sent")
@@ -205,12 +204,14 @@
             while True:
                 if stream.ended:
                     return AttemptResult(
-                        Ending.MOOT, AttemptProgress.UNWRITTEN, f"broken under a body ({stream.error})"
+                        Ending.MOOT,
+                        AttemptProgress.UNWRITTEN,
+                        f"connection broken while the body was sent ({stream.error})",
                     )
                 if stream.incoming:  # an early response counts
                     return None
                 if is_cancelled():
-                    return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "called off under a body")
+                    return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "cancelled while the body was sent")
                 if len(stream.outgoing) < unsent:
                     stall_deadline = now_ms() + BODY_STALL_TIMEOUT_MS
                 unsent = len(stream.outgoing)
@@ -224,9 +225,8 @@
                         if chunk[1]:
                             return None
                         continue
-                    stall_deadline = (
-                        now_ms() + BODY_STALL_TIMEOUT_MS
-                    )  # a silent client is not a stalled server: ``remaining_body`` limits that
+                    # A silent client is not a stalled server: ``remaining_body`` limits that.
+                    stall_deadline = now_ms() + BODY_STALL_TIMEOUT_MS
                 elif now_ms() >= stall_deadline:
                     return AttemptResult(
                         Ending.TIMEOUT, AttemptProgress.UNWRITTEN, "the server stopped reading the body"
@@ -286,11 +286,10 @@
                 wait_deadline = wait_deadline or now + min(self.plan.settings.wait_ms, (deadline - now) / 4.0)
                 if now >= wait_deadline:
                     self.counts.add("links", "none_in_time")
-                    return AttemptResult(
-                        Ending.MOOT, AttemptProgress.UNWRITTEN, f"no connection: {record.cause}"
-                    )  # not the server's fault
+                    # Not the server's fault.
+                    return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, f"no connection: {record.cause}")
                 if is_cancelled():
-                    return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "called off")
+                    return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "cancelled")
                 yield from self.wait_for_connection(server_id, min(wait_deadline, now + record.ms))
             record = self.plan.acquire(now_ms(), server_id, repeatable)
 
@@ -333,16 +332,16 @@
     ) -> Steps[AttemptResult | None]:
         """Wait until a new connection is established; nothing is written before."""
         stream, record = connection.http.stream, connection.record
-        wait_deadline = now_ms() + self.connect_ms
+        wait_deadline = now_ms() + self.connect_timeout_ms
         timers.append(self.loop.at(wait_deadline, stream.notify))
         while stream.connecting and not stream.ended:
             if is_cancelled() or now_ms() >= deadline:
                 self.plan.on_connect_failed(now_ms(), record, ConnectFailure.LEFT)
                 if is_cancelled():
-                    return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "called off")
+                    return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "cancelled")
                 return AttemptResult(Ending.MOOT, AttemptProgress.UNWRITTEN, "no time left to connect")  # it never ran
             if now_ms() >= wait_deadline:
-                return self.report_connect_failure(record, ConnectFailure.SILENT, "connection did not come up")
+                return self.report_connect_failure(record, ConnectFailure.SILENT, "connect timed out")
             yield
         if stream.ended:
             # A reset while connecting means that a live server accepted it; a refusal, that nobody listens.
@@ -405,7 +404,7 @@
                 ending = Ending.RESET if progress else Ending.MOOT
                 return AttemptResult(ending, progress, reply.reason if reply else f"broken ({stream.error})")
             if is_cancelled():
-                return AttemptResult(Ending.CANCELLED, progress, "called off")
+                return AttemptResult(Ending.CANCELLED, progress, "cancelled")
             if now_ms() >= deadline:
                 if not http.head:
                     self.plan.on_response_timeout(now_ms(), record)
@@ -456,14 +455,14 @@
         """Open a connection in advance, before a request needs it."""
         connection = self.start_connecting(record, lambda: self.on_preconnect_event(record, timer))
         if isinstance(connection, Connection):
-            timer = self.loop.after(self.connect_ms, lambda: self.on_preconnect_timeout(record))
+            timer = self.loop.after(self.connect_timeout_ms, lambda: self.on_preconnect_timeout(record))
 
     def on_preconnect_event(self, record: ConnectionRecord, timer: Timer) -> None:
         """Handle the outcome of a preconnect: release the connection, or report the failure."""
         stream = record.owner_data.http.stream
         timer.cancel()
         if stream.ended:
-            self.report_connect_failure(record, classify_connect_error(stream.error), "opened ahead")
+            self.report_connect_failure(record, classify_connect_error(stream.error), "preconnect failed")
             stream.close()
         elif not stream.connecting:
             self.plan.on_opened(now_ms(), record)
@@ -471,7 +470,7 @@
 
     def on_preconnect_timeout(self, record: ConnectionRecord) -> None:
         """Abandon a preconnect that exceeds the connect timeout."""
-        self.report_connect_failure(record, ConnectFailure.SILENT, "opened ahead")
+        self.report_connect_failure(record, ConnectFailure.SILENT, "preconnect timed out")
         record.owner_data.http.stream.close()
 
     def sync_servers(self) -> None:
--- a/petrelhall/links/reuse.py
+++ b/petrelhall/links/reuse.py
@@ -57,25 +57,25 @@
                 return oldest
             candidates: Iterable[ConnectionRecord] = reversed(server.idle)
         elif order == "oldest":
-            candidates = sorted(server.idle, key=lambda link: link.opened_at)
+            candidates = sorted(server.idle, key=lambda record: record.opened_at)
         else:
-            candidates = sorted(server.idle, key=lambda link: link.uses)
-        for link in candidates:
-            if link.uses and now - link.idle_since < REUSE_DELAY_MS:
+            candidates = sorted(server.idle, key=lambda record: record.uses)
+        for record in candidates:
+            if record.uses and now - record.idle_since < REUSE_DELAY_MS:
                 continue
-            if now >= link.expires_at:
-                self.inventory.retire(link, "age")
+            if now >= record.expires_at:
+                self.inventory.retire(record, "age")
                 return self.pick(now, server, repeatable)
-            if now - link.idle_since >= safe_idle_ms:
+            if now - record.idle_since >= safe_idle_ms:
                 if order == "last_used":
                     return None  # all remaining candidates have been idle for longer
                 continue
-            link.suspected = link.idle_since < server.suspected_before
-            if link.suspected:
+            record.suspected = record.idle_since < server.suspected_before
+            if record.suspected:
                 if not repeatable or server.probing_suspect:
                     continue
                 server.probing_suspect = True
-            return link
+            return record
         return None
 
     def reuse_delay_left_ms(self, now: float, server: ServerConnections, wait_ms: float) -> float:
--- a/petrelhall/links/server.py
+++ b/petrelhall/links/server.py
@@ -67,20 +67,15 @@
             NEVER,
             NEVER,
         )
-        self.unsettled_deaths: list[
-            tuple[float, float, bool]
-        ] = []  # not evaluated yet: (time, idle ms, whether the close was observed)
+        # Not evaluated yet: (time, idle ms, whether the close was observed).
+        self.unsettled_deaths: list[tuple[float, float, bool]] = []
         self.provisional_idle_limit_ms = NEVER  # shortest idle time among the unsettled deaths
-        self.suspected_before, self.probing_suspect = (
-            0.0,
-            False,
-        )  # connections idle since before this are suspected dead; one is being probed
+        # Connections idle since before ``suspected_before`` are suspected dead; one of them is probed at a time.
+        self.suspected_before, self.probing_suspect = 0.0, False
         self.peak_open = self.open_count = self.stale_count = 0
         self.longest_survived_ms = 0.0  # longest idle time survived since the last limit update
-        self.recent_ends, self.recent_ends_since = (
-            0,
-            -NEVER,
-        )  # connections closed by the server within DEATH_SPAN_MS, and since when
+        # Connections closed by the server within DEATH_SPAN_MS, and since when.
+        self.recent_ends, self.recent_ends_since = 0, -NEVER
 
     @property
     def open(self) -> int:
--- a/petrelhall/links/slow_start.py
+++ b/petrelhall/links/slow_start.py
@@ -17,8 +17,8 @@
 class SlowStart:
     """The rate at which connections to cold servers may be opened, as a token bucket for each server."""
 
-    def __init__(self, settings: Links, platform_cold_ms: float, gateways: int, draw: random.Random) -> None:
-        self.platform_cold_ms, self.gateways, self.random = platform_cold_ms, gateways, draw
+    def __init__(self, settings: Links, platform_cold_ms: float, gateways: int, rng: random.Random) -> None:
+        self.platform_cold_ms, self.gateways, self.rng = platform_cold_ms, gateways, rng
         self.configure(settings)
 
     def configure(self, settings: Links) -> None:
@@ -32,7 +32,7 @@
         if self.cold(now, server):
             # With several gateways the first token is delayed by a random part of the time in which the rate gives
             # each gateway one connection, so that they do not all connect at once.
-            server.tokens = 1.0 - self.random.random() * (1.0 if self.gateways > 1 else 0.0)
+            server.tokens = 1.0 - self.rng.random() * (1.0 if self.gateways > 1 else 0.0)
             server.tokens_updated_at = now
             server.warm_up_at = NEVER
 
--- a/petrelhall/links/staleness.py
+++ b/petrelhall/links/staleness.py
@@ -23,7 +23,7 @@
 
     def __init__(self, settings: Links, platform_idle_ms: float, inventory: Inventory, slow_start: SlowStart) -> None:
         self.platform_idle_ms, self.inventory, self.slow_start = platform_idle_ms, inventory, slow_start
-        self.fleet: SurvivalEstimate | None = None
+        self.overall_survival: SurvivalEstimate | None = None  # of all servers together: the prior for new ones
         self.configure(settings)
 
     def configure(self, settings: Links) -> None:
@@ -34,16 +34,16 @@
     def initial_estimate(self, now: float) -> SurvivalEstimate:
         """Return the estimate for a server of which nothing has been observed yet."""
         half_life_ms = self.settings.half_life_s * 1000.0
-        if self.fleet is None:
-            self.fleet = SurvivalEstimate(now, half_life_ms)
-        return SurvivalEstimate(now, half_life_ms, self.fleet)
+        if self.overall_survival is None:
+            self.overall_survival = SurvivalEstimate(now, half_life_ms)
+        return SurvivalEstimate(now, half_life_ms, self.overall_survival)
 
     def refresh_limits(self, now: float, server: ServerConnections) -> None:
         """Compute again up to which idle time a server's connections are kept, and up to which they are safe."""
         server.limits_updated_at = now
-        # Only the longest idle time survived since the last refresh is recorded for the fleet: enough for the prior.
-        if server.longest_survived_ms and self.fleet is not None:
-            self.fleet.record_served(now, server.longest_survived_ms)
+        # Only the longest idle time survived since the last refresh is recorded for all servers: enough for the prior.
+        if server.longest_survived_ms and self.overall_survival is not None:
+            self.overall_survival.record_served(now, server.longest_survived_ms)
             server.longest_survived_ms = 0.0
         tolerance = self.settings.tolerance
         configured_ms = min(self.idle_ms, IDLE_LIMIT_SHARE * server.keep_alive_hint_ms)
@@ -93,8 +93,10 @@
         else:
             for when, idle_ms, seen_closing in server.unsettled_deaths:
                 (server.survival.record_closed if seen_closing else server.survival.record_broken)(when, idle_ms)
-                if self.fleet is not None:
-                    (self.fleet.record_closed if seen_closing else self.fleet.record_broken)(when, idle_ms)
+                if self.overall_survival is not None:
+                    (self.overall_survival.record_closed if seen_closing else self.overall_survival.record_broken)(
+                        when, idle_ms
+                    )
         server.unsettled_deaths.clear()
         server.provisional_idle_limit_ms = NEVER
         server.limits_updated_at = -NEVER
--- a/tests/test_moments.py
+++ b/tests/test_moments.py
@@ -232,9 +232,8 @@
         self.turn_until(lambda: len(self.results) == 2)
         self.assertEqual([result.reply.body for result in self.results], [b"one", b"two"])
         self.assertEqual(self.plan.counts["retired.spoilt"], 1)
-        self.assertFalse(
-            self.plan.servers["s0"].unsettled_deaths
-        )  # does not count as evidence of the idle timeout of the server
+        # Does not count as evidence of the idle timeout of the server.
+        self.assertFalse(self.plan.servers["s0"].unsettled_deaths)
 
     def test_a_request_waits_for_reuse_no_longer_than_a_duplicate_response_may_be_late(self) -> None:
         self.start_attempt()
@@ -341,9 +340,8 @@
         return float(head.partition(b"x-deadline: ")[2].partition(b"m")[0])
 
     def test_the_forwarded_deadline_excludes_the_wait_during_a_long_loop_iteration(self) -> None:
-        self.patch(
-            net_loop, BLOCKED_POLL_MS=1000.0
-        )  # a poll that returns late on a slow machine does not count as blocked
+        # A poll that returns late on a slow machine does not count as blocked.
+        self.patch(net_loop, BLOCKED_POLL_MS=1000.0)
         gateway_listener = self.start_gateway()
         client = self.client(HEALTH_REQUEST)
         self.read(client, b"ready\n")
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -176,7 +176,7 @@
         ):  # the accept queue is full, so connecting takes long
             self.server_socket = server
             pool = self.pool()
-            pool.connect_ms = 5000.0
+            pool.connect_timeout_ms = 5000.0
             self.attempt(pool, 8000.0)
             self.turn_until(lambda: pool.open)
             drains = server_entry("s0", format_address(server), "Terminating")
