--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -887,7 +887,7 @@
                 if after_delivery is not None:
                     after_delivery()
 
-        request_handler.tell = notify
+        request_handler.handle_event = notify
 
         class ConnectedCaller:
             gone = False
