--- a/benchmarks/accord_cost.py
+++ b/benchmarks/accord_cost.py
@@ -14,7 +14,7 @@
 import socket
 import time
 
-from petrelhall.accord.core import Accord, Heard, Send, Tick
+from petrelhall.accord.core import ConsensusCore, Heard, Send, Tick
 from petrelhall.accord.plan import pace
 from petrelhall.emulate.accord import TICK_MS, Cores
 from petrelhall.emulate.fabric import Fabric, Links
@@ -29,7 +29,7 @@
     fabric.run(3.0 * (driver.pace.fence_ms + driver.pace.life_ms))
     heard: list[tuple[float, int, bytes]] = []
     give = fabric.give
-    core: Accord = copy.deepcopy(fabric.cores[0])
+    core: ConsensusCore = copy.deepcopy(fabric.cores[0])
 
     def recorded(sender: int, receiver: int, content: bytes) -> None:
         if receiver == 0:
@@ -66,7 +66,7 @@
             pass
     start = time.process_time()
     for _ in range(LOOKS):
-        core.allowed(at)
+        core.can_admit(at)
     looks = time.process_time() - start
     return 1000.0 * spent / seconds, 1e6 * looks / LOOKS
 
--- a/benchmarks/scale/subjects/accord.py
+++ b/benchmarks/scale/subjects/accord.py
@@ -9,7 +9,7 @@
 from benchmarks.scale.installation import PEER_MESSAGES_PER_S
 from benchmarks.scale.replay import Datagram, Load, replay
 from benchmarks.scale.sampling import MEBIBYTE, Effort, Samples, held_bytes
-from petrelhall.accord.core import Accord, Action, Heard, Send, Tick
+from petrelhall.accord.core import Action, ConsensusCore, Heard, Send, Tick
 from petrelhall.accord.plan import Pace, pace
 from petrelhall.capacity.records import Slope
 from petrelhall.emulate.accord import FILE, TICK_MS, Cores, anything
@@ -98,9 +98,9 @@
         yield samples.slope()
 
 
-def core_of(gateways: int) -> Accord:
+def core_of(gateways: int) -> ConsensusCore:
     """Give one core, as it starts."""
-    return Accord(VOTER, 1, pace_of(gateways), FILE, anything, 1, 0.0)
+    return ConsensusCore(VOTER, 1, pace_of(gateways), FILE, anything, 1, 0.0)
 
 
 def sent(actions: list[Action]) -> list[bytes]:
@@ -112,7 +112,7 @@
 class Rest:
     """A voter of a fleet at rest, and what it hears for a while."""
 
-    core: Accord
+    core: ConsensusCore
     began_ms: float
     end_ms: float
     heard: list[Datagram] = field(default_factory=list)
@@ -147,7 +147,7 @@
     driver = Cores(pace_of(gateways), 1)
     fabric = RecordingFabric(driver, gateways, Links(LOSS, DELAY_MS), 1, TICK_MS)
     fabric.run(SETTLING * driver.pace.life_ms + driver.pace.fence_ms)
-    if not all(core.allowed(fabric.now) for core in fabric.cores.values()):
+    if not all(core.can_admit(fabric.now) for core in fabric.cores.values()):
         raise RuntimeError(f"{gateways} gateways: not all hold a lease at rest")
     fabric.rest = Rest(copy.deepcopy(fabric.cores[VOTER]), fabric.now, fabric.now + 1000.0 * seconds)
     fabric.run(fabric.rest.end_ms)
--- a/petrelhall/accord/core.py
+++ b/petrelhall/accord/core.py
@@ -19,7 +19,17 @@
 from petrelhall.accord.checks import Checks
 from petrelhall.accord.decisions import Decisions
 from petrelhall.accord.documents import Documents
-from petrelhall.accord.events import Abort, Action, Begin, Event, Keep, Propose, Serve, Settle, Told
+from petrelhall.accord.events import (
+    Abort,
+    Action,
+    DeclareVotersLost,
+    Event,
+    Notice,
+    PersistState,
+    Propose,
+    Serve,
+    SettleSlot,
+)
 from petrelhall.accord.history import History
 from petrelhall.accord.lease import Holder
 from petrelhall.accord.leases import Leases
@@ -29,31 +39,31 @@
 from petrelhall.accord.recovery import Recovery
 from petrelhall.accord.transfer import Transfer
 from petrelhall.accord.view import view
-from petrelhall.accord.votes import Memory, Voter
+from petrelhall.accord.votes import Voter, VoterState
 from petrelhall.accord.voting import Voting
 from petrelhall.accord.words import FULL
 from petrelhall.events import Dropped, Heard, Quiet, Send, Tick
 
 __all__ = [
     "Abort",
-    "Accord",
+    "ConsensusCore",
     "Action",
-    "Begin",
+    "DeclareVotersLost",
     "Dropped",
     "Event",
     "Heard",
-    "Keep",
+    "PersistState",
     "Propose",
     "Quiet",
     "Send",
     "Serve",
-    "Settle",
+    "SettleSlot",
     "Tick",
-    "Told",
+    "Notice",
 ]
 
 
-class Accord:
+class ConsensusCore:
     """One gateway's part in agreeing: what is known and held here, and the parts that act on it."""
 
     def __init__(
@@ -65,26 +75,28 @@
         check: Callable[[bytes], str],
         seed: int,
         now: float,
-        memory: Memory | None = None,
+        memory: VoterState | None = None,
         documents: tuple[bytes, ...] = (),
     ) -> None:
-        self.number, self.life, self.pace = number, life, pace
+        self.number, self.incarnation, self.pace = number, life, pace
         self.random = random.Random(seed)
         self.documents = Documents()
         for content in documents:
             self.documents.put(content)
-        self.file = self.documents.put(document)  # what the file says: version 0 where nobody knows of a later one
+        self.file_digest = self.documents.put(
+            document
+        )  # what the file says: version 0 where nobody knows of a later one
         self.voter = Voter(pace, memory, now) if number in pace.voters else None
         self.holder = Holder(pace)
-        self.known = memory or Memory()  # the last decision known here
-        self.certain = memory is not None  # whether anything is known
+        self.last_decision = memory or VoterState()  # the last decision known here
+        self.has_decision = memory is not None  # whether anything is known
         self.history = History()
         self.serving: tuple[int, bytes, bytes | None] | None = None
-        self.kind = FULL
+        self.lease_kind = FULL
         self.ballot: Ballot | None = None
         self.may_vote = True  # the shell says otherwise while votes could not be kept
-        self.kept: Memory | None = memory
-        self.trouble = ""  # why nothing is served, for operators
+        self.persisted: VoterState | None = memory
+        self.not_serving_reason = ""  # why nothing is served, for operators
         self.outbox = Outbox(number, pace, now)
         self.checks = Checks(check, self.documents)
         self.transfer = Transfer(life, pace, self.documents, self.outbox, self.random)
@@ -97,7 +109,7 @@
         if memory is not None:
             self.history.add(memory.version, memory.digest)
 
-    def take_over(self, now: float, memory: Memory | None, documents: tuple[bytes, ...]) -> None:
+    def take_over(self, now: float, memory: VoterState | None, documents: tuple[bytes, ...]) -> None:
         """Vote from now on in place of an earlier process of this member, which votes and grants no more.
 
         What that one granted may hold for as long as after any start; what it has kept is all that it has voted.
@@ -105,7 +117,7 @@
         self.may_vote = True
         if self.voter is None:
             return
-        self.voter.fence, self.recovery.query = now + self.pace.fence_ms, None
+        self.voter.fence_until, self.recovery.query = now + self.pace.fence_ms, None
         if memory is not None:
             for content in documents:
                 self.documents.put(content)
@@ -113,9 +125,9 @@
 
     # What the shell asks before every decision
 
-    def allowed(self, now: float) -> bool:
+    def can_admit(self, now: float) -> bool:
         """Tell whether a request may be admitted now, under what is served."""
-        return self.serving is not None and now < self.holder.until[self.kind]
+        return self.serving is not None and now < self.holder.until[self.lease_kind]
 
     # Turns
 
@@ -128,9 +140,9 @@
             self.proposals.propose(now, event)
         elif isinstance(event, Abort):
             self.proposals.abort(now, event.digest)
-        elif isinstance(event, Settle):
+        elif isinstance(event, SettleSlot):
             self.proposals.settle(now)
-        elif isinstance(event, Begin):
+        elif isinstance(event, DeclareVotersLost):
             self.recovery.begin_at = now + self.pace.fence_ms  # who is there has answered by then
         elif isinstance(event, Quiet):
             self.outbox.quiet, self.ballot = True, None
@@ -147,16 +159,16 @@
         self.leases.serve(now)
         return self.outbox.actions
 
-    def keep(self) -> None:
+    def persist(self) -> None:
         """Have the voter's memory written down before anything that follows is said."""
-        if self.voter is not None and not self.voter.remembers:
+        if self.voter is not None and not self.voter.has_state:
             return  # written down it would pass for all there is to be remembered
-        memory = self.voter.memory if self.voter is not None else self.known
-        if memory != self.kept and self.certain:
-            self.kept = memory
+        memory = self.voter.state if self.voter is not None else self.last_decision
+        if memory != self.persisted and self.has_decision:
+            self.persisted = memory
             held = self.documents.held
             self.outbox.actions.append(
-                Keep(memory, tuple(held[name] for name in (memory.digest, memory.value) if name in held))
+                PersistState(memory, tuple(held[name] for name in (memory.digest, memory.value) if name in held))
             )
 
     # Hearing
@@ -166,7 +178,7 @@
         message = words.decode(content, self.pace.members, len(self.pace.voters))
         if isinstance(message, str):
             self.outbox.actions.append(Dropped(message))
-        elif getattr(message, "to", self.life) != self.life:
+        elif getattr(message, "to", self.incarnation) != self.incarnation:
             self.outbox.actions.append(Dropped("other_life"))
         elif not self.outbox.quiet:
             self.dispatch(now, sender, message)
@@ -209,18 +221,18 @@
         """Take a piece of a document in."""
         content = self.documents.piece(message.digest, message.index, message.size, message.data)
         if content is not None:
-            self.hold(content)
+            self.store_document(content)
 
     # Learning
 
     def learn(self, now: float, version: int, digest: bytes, source: int) -> None:
         """Take a version for decided; what is served under an earlier one ends in this turn."""
-        if not digest or (self.certain and version <= self.known.version):
+        if not digest or (self.has_decision and version <= self.last_decision.version):
             return
-        self.certain = True
-        self.known = Memory(version, digest)
+        self.has_decision = True
+        self.last_decision = VoterState(version, digest)
         self.history.add(version, digest)
-        if self.voter is not None and self.voter.remembers:
+        if self.voter is not None and self.voter.has_state:
             self.voter.learn(version, digest)
         self.holder.begin()  # with no lease nothing is let in, whatever was served
         self.leases.next_ask = now
@@ -229,10 +241,10 @@
         if self.ballot is not None and self.ballot.slot <= version:
             self.ballot = None
         self.voting.seen_ballot = 0
-        self.keep()
-        self.outbox.actions.append(Told(f"version {version} {digest.hex()[:8]} is decided"))
+        self.persist()
+        self.outbox.actions.append(Notice(f"version {version} {digest.hex()[:8]} is decided"))
 
-    def promised(self, now: float, ballot: Ballot, voter: int, accepted: int, digest: bytes) -> None:
+    def record_promise(self, now: float, ballot: Ballot, voter: int, accepted: int, digest: bytes) -> None:
         """Go on to the vote once a majority has promised."""
         before = ballot.value
         ballot.promised(voter, accepted, digest, self.pace)
@@ -244,27 +256,27 @@
                 if change.slot == ballot.slot and change.digest == ballot.value:
                     change.voted_on = True
 
-    def voted(self, now: float, ballot: Ballot, voter: int) -> None:
+    def record_vote(self, now: float, ballot: Ballot, voter: int) -> None:
         """Decide with a majority."""
         if ballot.voted(voter, self.pace):
             self.documents.seek(ballot.value, next(iter(sorted(ballot.votes - {self.number})), voter))
             self.learn(now, ballot.slot, ballot.value, self.number)
 
-    def hold(self, content: bytes) -> bytes:
+    def store_document(self, content: bytes) -> bytes:
         """Hold a document; those of the last versions and of open changes stay."""
-        wanted = {digest for _, digest in self.history.latest(4)} | {self.file, self.known.digest}
+        wanted = {digest for _, digest in self.history.latest(4)} | {self.file_digest, self.last_decision.digest}
         wanted |= {change.digest for change in self.changes if not change.over}
         if self.voter is not None:
-            wanted.add(self.voter.memory.value)
+            wanted.add(self.voter.state.value)
         digest = self.documents.put(content, frozenset(wanted))
-        if self.voter is not None and self.voter.memory.value == digest:
-            self.kept = None  # what was voted on can be written down now
-            self.keep()
+        if self.voter is not None and self.voter.state.value == digest:
+            self.persisted = None  # what was voted on can be written down now
+            self.persist()
         return digest
 
     # Telling
 
-    def owed(self, now: float) -> list[int]:
+    def members_behind(self, now: float) -> list[int]:
         """Give the members that are not known to have the decided version, as far as this gateway hears."""
         return self.leases.owed(now)
 
--- a/petrelhall/accord/events.py
+++ b/petrelhall/accord/events.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from petrelhall.accord.votes import Memory
+from petrelhall.accord.votes import VoterState
 from petrelhall.events import Dropped, Heard, Quiet, Send, Tick
 
 # Events
@@ -26,26 +26,26 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Settle:
+class SettleSlot:
     """An operator wants the next slot closed, so that what may be in it has a known end."""
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class DeclareVotersLost:
     """An operator states that all voters not heard here are gone, and come back empty if they come back."""
 
 
-Event = Tick | Heard | Propose | Abort | Settle | Begin | Quiet
+Event = Tick | Heard | Propose | Abort | SettleSlot | DeclareVotersLost | Quiet
 
 
 # Actions
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
+class PersistState:
     """Write this down, safely, before any of the actions that follow: a voter's memory, and the documents it names."""
 
-    memory: Memory
+    state: VoterState
     documents: tuple[bytes, ...]
 
 
@@ -55,14 +55,14 @@
 
     version: int
     document: bytes
-    before: bytes | None
+    previous: bytes | None
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class Notice:
     """Something that operators want to know."""
 
-    what: str
+    text: str
 
 
-Action = Send[int] | Keep | Serve | Told | Dropped
+Action = Send[int] | PersistState | Serve | Notice | Dropped
--- a/petrelhall/accord/proposals.py
+++ b/petrelhall/accord/proposals.py
@@ -8,11 +8,11 @@
 from petrelhall.accord import words
 from petrelhall.accord.change import Change
 from petrelhall.accord.documents import MOST_BYTES, digest_of
-from petrelhall.accord.events import Propose, Told
+from petrelhall.accord.events import Notice, Propose
 from petrelhall.accord.words import FULL
 
 if TYPE_CHECKING:
-    from petrelhall.accord.core import Accord
+    from petrelhall.accord.core import ConsensusCore
 
 KEPT = 64  # changes that are remembered
 COPIES = 3.0  # of each piece of a document that may have to be sent to each member
@@ -22,7 +22,7 @@
 class Proposals:
     """The changes proposed at this gateway, and its opinion on those of others."""
 
-    def __init__(self, core: Accord) -> None:
+    def __init__(self, core: ConsensusCore) -> None:
         self.core = core
         self.changes: deque[Change] = deque(maxlen=KEPT)  # the latest last
 
@@ -30,7 +30,7 @@
         """Begin a change, or say at once why it cannot be."""
         core = self.core
         digest = digest_of(event.content)
-        change = Change(digest, event.base + 1, core.known.digest, now)
+        change = Change(digest, event.base + 1, core.last_decision.digest, now)
         for known in self.changes:  # the same document proposed again is the same change
             if (known.digest, known.slot) == (digest, change.slot) and (not known.over or known.state == "in force"):
                 return
@@ -39,15 +39,15 @@
         reason = ""
         if len(event.content) > MOST_BYTES:
             reason = f"larger than {MOST_BYTES} bytes"
-        elif not core.certain:
-            reason = core.trouble or "this gateway does not know yet what is in force"
-        elif event.base != core.known.version:
-            reason = f"made for version {event.base}, decided is {core.known.version}"
+        elif not core.has_decision:
+            reason = core.not_serving_reason or "this gateway does not know yet what is in force"
+        elif event.base != core.last_decision.version:
+            reason = f"made for version {event.base}, decided is {core.last_decision.version}"
         elif busy:
             reason = "another change is on its way here"
         if reason:
             return self.end(now, change, "nowhere", {-1: reason})
-        core.hold(event.content)
+        core.store_document(event.content)
         refused = core.checks.reason(digest)
         self.opinion(now, change, core.number, 2 if refused else 1, refused)
 
@@ -60,10 +60,17 @@
     def settle(self, now: float) -> None:
         """Close the next slot, with what was voted on in it or with what is in force as it is."""
         core = self.core
-        if not core.certain or any(change.settles and not change.over for change in self.changes):
+        if not core.has_decision or any(change.settles and not change.over for change in self.changes):
             return
         self.changes.append(
-            Change(core.known.digest, core.known.version + 1, core.known.digest, now, "deciding", settles=True)
+            Change(
+                core.last_decision.digest,
+                core.last_decision.version + 1,
+                core.last_decision.digest,
+                now,
+                "deciding",
+                settles=True,
+            )
         )
 
     def advance(self, now: float) -> None:
@@ -78,7 +85,7 @@
             (
                 change.digest
                 for change in self.changes
-                if change.state == "deciding" and change.slot == self.core.known.version + 1
+                if change.state == "deciding" and change.slot == self.core.last_decision.version + 1
             ),
             None,
         )
@@ -86,7 +93,7 @@
     def follow(self, now: float, change: Change) -> None:
         """Take one change a step further."""
         core = self.core
-        if core.known.version >= change.slot:
+        if core.last_decision.version >= change.slot:
             return self.outcome(now, change)
         if change.state == "checking":
             self.follow_checks(now, change)
@@ -100,8 +107,8 @@
     def follow_checks(self, now: float, change: Change) -> None:
         """Have a change decided once all that may serve have checked it; ask them again, or end it after its time."""
         core = self.core
-        if core.voter is not None and core.voter.remembers and now >= core.voter.fence:
-            change.holders[core.number] = core.voter.holders(now)
+        if core.voter is not None and core.voter.has_state and now >= core.voter.fence_until:
+            change.holders[core.number] = core.voter.lease_holders(now)
         needed = change.needed(core.pace)
         if needed is not None and all(change.opinions.get(number) == 1 for number in needed):
             change.state = "deciding"
@@ -119,7 +126,7 @@
         change.asked = now
         content = core.documents.held.get(change.digest, b"")
         whole = content if len(content) <= words.DATA else b""
-        message = words.Check(core.life, change.slot, change.digest, change.before, whole)
+        message = words.Check(core.incarnation, change.slot, change.digest, change.before, whole)
         others = [number for number in range(core.pace.members) if number != core.number]
         voters = [number for number in others if number in core.pace.voters]
         rest = [number for number in others if number not in core.pace.voters and not change.opinions.get(number)]
@@ -142,7 +149,9 @@
             change.state = "not known"
         elif decided != change.digest:
             self.end(now, change, "nowhere", {-1: f"version {change.slot} was decided to be another"})
-        elif core.known.version > change.slot or (core.serving is not None and core.kind == FULL and core.allowed(now)):
+        elif core.last_decision.version > change.slot or (
+            core.serving is not None and core.lease_kind == FULL and core.can_admit(now)
+        ):
             self.end(now, change, "in force")
         elif change.state != "decided":
             change.end(now, "decided")
@@ -155,7 +164,9 @@
         change.end(now, state, reasons)
         why = "; ".join(f"{number}: {reason}" if number >= 0 else reason for number, reason in change.reasons.items())
         core.outbox.actions.append(
-            Told(f"change {change.digest.hex()[:8]} for version {change.slot}: {state}" + (f" ({why})" if why else ""))
+            Notice(
+                f"change {change.digest.hex()[:8]} for version {change.slot}: {state}" + (f" ({why})" if why else "")
+            )
         )
 
     def on_check(self, now: float, sender: int, message: words.Check) -> None:
@@ -168,16 +179,16 @@
             and digest_of(message.content) == message.digest
             and message.digest not in core.documents.held
         ):
-            core.hold(message.content)
+            core.store_document(message.content)
         core.transfer.seek(message.digest, sender)
         held = message.digest in core.documents.held
         reason = core.checks.reason(message.digest) if held else ""
-        votes = core.voter is not None and core.voter.remembers and now >= core.voter.fence
-        holders = core.voter.holders(now) if core.voter is not None and votes else set()
+        votes = core.voter is not None and core.voter.has_state and now >= core.voter.fence_until
+        holders = core.voter.lease_holders(now) if core.voter is not None and votes else set()
         core.outbox.send(
             sender,
             words.Opinion(
-                core.life,
+                core.incarnation,
                 message.life,
                 message.slot,
                 message.digest,
--- a/petrelhall/accord/recovery.py
+++ b/petrelhall/accord/recovery.py
@@ -6,17 +6,17 @@
 from typing import TYPE_CHECKING
 
 from petrelhall.accord import words
-from petrelhall.accord.events import Told
-from petrelhall.accord.votes import Memory, best
+from petrelhall.accord.events import Notice
+from petrelhall.accord.votes import VoterState, merge_states
 
 if TYPE_CHECKING:
-    from petrelhall.accord.core import Accord
+    from petrelhall.accord.core import ConsensusCore
 
 
 class Recovery:
     """Asks the voters what they remember, until this gateway knows what is in force and may vote."""
 
-    def __init__(self, core: Accord) -> None:
+    def __init__(self, core: ConsensusCore) -> None:
         self.core = core
         self.query: tuple[int, dict[int, words.State]] | None = None
         self.queried = -math.inf
@@ -31,8 +31,8 @@
         """
         core = self.core
         voter = core.voter
-        learns = voter is not None and not voter.remembers and now >= voter.fence and core.may_vote
-        if (core.certain and not learns) or now - self.queried < core.pace.retry_ms:
+        learns = voter is not None and not voter.has_state and now >= voter.fence_until and core.may_vote
+        if (core.has_decision and not learns) or now - self.queried < core.pace.retry_ms:
             return
         if learns and self.query is None:
             self.query = core.random.getrandbits(40) + 1, {}
@@ -44,9 +44,9 @@
         self.queried = now
         # Also those that answered: one that was empty may remember by now.
         for number in core.pace.voters - {core.number}:
-            core.outbox.send(number, words.Query(core.life, nonce))
+            core.outbox.send(number, words.Query(core.incarnation, nonce))
 
-    def memory_from(self, now: float, answers: dict[int, words.State]) -> Memory | None:
+    def memory_from(self, now: float, answers: dict[int, words.State]) -> VoterState | None:
         """Give what this voter is to remember by what others answered; None, and why, while that is not known."""
         core = self.core
         remembering = [state for state in answers.values() if state.remembers]
@@ -55,20 +55,20 @@
         if len(remembering) > len(core.pace.voters) - core.pace.majority or (
             remembering and not missing and now >= self.begin_at
         ):
-            return best([memory_of(state) for state in remembering])
-        differ = sorted(number for number, digest in empty.items() if digest != core.file)
+            return merge_states([memory_of(state) for state in remembering])
+        differ = sorted(number for number, digest in empty.items() if digest != core.file_digest)
         if not missing and not remembering and not differ:  # nobody knows anything: all began together
             self.roots = tuple(
-                answers[number].life if number in answers else core.life * (number == core.number)
+                answers[number].life if number in answers else core.incarnation * (number == core.number)
                 for number in sorted(core.pace.voters)
             )
-            return Memory(0, core.file)
+            return VoterState(0, core.file_digest)
         place = sorted(core.pace.voters).index(core.number)
         for state in remembering:  # who began with this very process, which has not voted on anything since
-            if state.roots and state.roots[place] == core.life:
+            if state.roots and state.roots[place] == core.incarnation:
                 self.roots = state.roots
-                return Memory(0, core.file)
-        core.trouble = (
+                return VoterState(0, core.file_digest)
+        core.not_serving_reason = (
             f"started empty, and the shared part of the file differs from that of {differ}"
             if differ and not remembering
             else f"started empty: {len(remembering)} voters that remember were heard"
@@ -76,21 +76,21 @@
         )
         return None
 
-    def remembers(self, now: float, memory: Memory, answers: dict[int, words.State]) -> None:
+    def remembers(self, now: float, memory: VoterState, answers: dict[int, words.State]) -> None:
         """Vote from now on."""
         core = self.core
         assert core.voter is not None
-        core.voter.memory, core.voter.remembers = memory, True
+        core.voter.state, core.voter.has_state = memory, True
         core.voter.accepted_at = now
-        self.query, self.begin_at, core.trouble = None, math.inf, ""
+        self.query, self.begin_at, core.not_serving_reason = None, math.inf, ""
         source = next((number for number, state in answers.items() if state.digest == memory.digest), core.number)
         core.learn(now, memory.version, memory.digest, source)
-        if core.known.version > memory.version:
-            core.voter.learn(core.known.version, core.known.digest)
+        if core.last_decision.version > memory.version:
+            core.voter.learn(core.last_decision.version, core.last_decision.digest)
         if memory.value:
             core.documents.seek(memory.value, source)
-        core.keep()
-        core.outbox.actions.append(Told(f"votes from now on, version {core.known.version}"))
+        core.persist()
+        core.outbox.actions.append(Notice(f"votes from now on, version {core.last_decision.version}"))
 
     def on_query(self, now: float, sender: int, message: words.Query) -> None:
         """Tell one that starts empty what there is."""
@@ -98,14 +98,14 @@
         voter = core.voter
         if voter is None:
             return
-        memory = voter.memory if voter.remembers else Memory(0, core.file)
+        memory = voter.state if voter.has_state else VoterState(0, core.file_digest)
         core.outbox.send(
             sender,
             words.State(
-                core.life,
+                core.incarnation,
                 message.life,
                 message.nonce,
-                voter.remembers,
+                voter.has_state,
                 memory.version,
                 memory.digest,
                 memory.promised,
@@ -125,6 +125,6 @@
             core.learn(now, message.version, message.digest, sender)
 
 
-def memory_of(state: words.State) -> Memory:
+def memory_of(state: words.State) -> VoterState:
     """Give what a voter told of its memory."""
-    return Memory(state.version, state.digest, state.promised, state.accepted, state.value)
+    return VoterState(state.version, state.digest, state.promised, state.accepted, state.value)
--- a/petrelhall/accord/view.py
+++ b/petrelhall/accord/view.py
@@ -8,7 +8,7 @@
 from petrelhall.accord.words import FULL
 
 if TYPE_CHECKING:
-    from petrelhall.accord.core import Accord
+    from petrelhall.accord.core import ConsensusCore
 
 
 def change_row(change: Change, now: float) -> dict[str, Any]:
@@ -23,12 +23,12 @@
     }
 
 
-def view(core: Accord, now: float) -> dict[str, Any]:
+def view(core: ConsensusCore, now: float) -> dict[str, Any]:
     """Give all of it as JSON's values."""
     state = "unsure"
-    if core.allowed(now):
-        state = "serving" if core.kind == FULL else "strictest"
-    memory = core.voter.memory if core.voter is not None and core.voter.remembers else None
+    if core.can_admit(now):
+        state = "serving" if core.lease_kind == FULL else "strictest"
+    memory = core.voter.state if core.voter is not None and core.voter.has_state else None
     pending = [
         {"digest": change.digest.hex(), "version": change.slot, "state": change.state}
         for change in core.changes
@@ -38,15 +38,15 @@
         pending.append({"digest": memory.value.hex(), "version": memory.version + 1, "state": "voted on"})
     return {
         "self": core.number,
-        "life": core.life,
-        "version": core.known.version if core.certain else None,
-        "digest": core.known.digest.hex(),
+        "life": core.incarnation,
+        "version": core.last_decision.version if core.has_decision else None,
+        "digest": core.last_decision.digest.hex(),
         "state": state,
-        "why": core.trouble,
-        "lease_ms": round(max(0.0, core.holder.until[core.kind] - now)) if core.allowed(now) else 0,
+        "why": core.not_serving_reason,
+        "lease_ms": round(max(0.0, core.holder.until[core.lease_kind] - now)) if core.can_admit(now) else 0,
         "votes": memory is not None,
         "pending": pending,
-        "owed": core.leases.owed(now) if core.certain else [],
+        "owed": core.leases.owed(now) if core.has_decision else [],
         "members": [
             {
                 "number": number,
--- a/petrelhall/accord/voting.py
+++ b/petrelhall/accord/voting.py
@@ -8,7 +8,7 @@
 from petrelhall.accord.change import Ballot, ballot_number
 
 if TYPE_CHECKING:
-    from petrelhall.accord.core import Accord
+    from petrelhall.accord.core import ConsensusCore
 
 TOOK_MS = 400.0  # after which others finish what was voted on and not decided, each a little later than the last
 
@@ -16,7 +16,7 @@
 class Voting:
     """A member's part in ballots: as a voter, and as whoever began one."""
 
-    def __init__(self, core: Accord) -> None:
+    def __init__(self, core: ConsensusCore) -> None:
         self.core = core
         self.seen_ballot = 0
 
@@ -29,7 +29,7 @@
         if ballot is None:
             own = core.proposals.deciding()
             if own is not None or self.unfinished(now):
-                ballot = core.ballot = self.begin(now, own or core.known.digest)
+                ballot = core.ballot = self.begin(now, own or core.last_decision.digest)
         if ballot is not None and now - ballot.asked >= core.pace.retry_ms:
             self.canvass(now, ballot)
 
@@ -37,7 +37,7 @@
         """Tell whether this voter has voted on what is not decided, and nobody seems to go on with it."""
         core = self.core
         voter = core.voter
-        if voter is None or not voter.remembers or not voter.memory.accepted:
+        if voter is None or not voter.has_state or not voter.state.accepted:
             return False
         place = sorted(core.pace.voters).index(core.number)
         return now - voter.accepted_at >= TOOK_MS + 2.0 * place * core.pace.retry_ms + core.pace.ballot_ms / 2.0
@@ -45,36 +45,38 @@
     def begin(self, now: float, own: bytes) -> Ballot:
         """Begin a ballot, later than any that was heard of."""
         core = self.core
-        promised = core.voter.memory.promised if core.voter is not None else 0
-        self.seen_ballot = ballot_number(max(self.seen_ballot, promised), core.number, core.life)
-        return Ballot(core.known.version + 1, self.seen_ballot, now, own)
+        promised = core.voter.state.promised if core.voter is not None else 0
+        self.seen_ballot = ballot_number(max(self.seen_ballot, promised), core.number, core.incarnation)
+        return Ballot(core.last_decision.version + 1, self.seen_ballot, now, own)
 
     def canvass(self, now: float, ballot: Ballot) -> None:
         """Ask the voters that have not answered, oneself among them."""
         core = self.core
         ballot.asked = now
-        voter, before = core.voter, core.known.digest
-        if voter is not None and voter.remembers and not ballot.value and core.number not in ballot.promises:
+        voter, before = core.voter, core.last_decision.digest
+        if voter is not None and voter.has_state and not ballot.value and core.number not in ballot.promises:
             if voter.promise(ballot.number):
-                core.keep()
-                core.promised(now, ballot, core.number, voter.memory.accepted, voter.memory.value)
+                core.persist()
+                core.record_promise(now, ballot, core.number, voter.state.accepted, voter.state.value)
         if not ballot.value:
             for number in core.pace.voters - set(ballot.promises):
-                core.outbox.send(number, words.Prepare(core.life, ballot.slot, ballot.number, before))
+                core.outbox.send(number, words.Prepare(core.incarnation, ballot.slot, ballot.number, before))
             return
-        if voter is not None and voter.remembers and core.number not in ballot.votes:
+        if voter is not None and voter.has_state and core.number not in ballot.votes:
             if voter.accept(now, ballot.number, ballot.value):
-                core.keep()
-                core.voted(now, ballot, core.number)
+                core.persist()
+                core.record_vote(now, ballot, core.number)
         for number in core.pace.voters - ballot.votes:
             if core.ballot is ballot:  # else decided by our own vote
-                core.outbox.send(number, words.Accept(core.life, ballot.slot, ballot.number, ballot.value, before))
+                core.outbox.send(
+                    number, words.Accept(core.incarnation, ballot.slot, ballot.number, ballot.value, before)
+                )
 
     def voting(self, now: float, sender: int, slot: int, before: bytes) -> bool:
         """Tell whether this gateway votes on a slot now."""
         core = self.core
         later = core.decisions.behind(now, sender, slot, before)
-        return not later and core.voter is not None and core.voter.remembers
+        return not later and core.voter is not None and core.voter.has_state
 
     def on_prepare(self, now: float, sender: int, message: words.Prepare) -> None:
         """Promise, or tell of a later ballot."""
@@ -84,14 +86,18 @@
         assert core.voter is not None
         self.seen_ballot = max(self.seen_ballot, message.ballot)
         if core.voter.promise(message.ballot):
-            core.keep()
-            memory = core.voter.memory
+            core.persist()
+            memory = core.voter.state
             core.outbox.send(
                 sender,
-                words.Promise(core.life, message.life, message.slot, message.ballot, memory.accepted, memory.value),
+                words.Promise(
+                    core.incarnation, message.life, message.slot, message.ballot, memory.accepted, memory.value
+                ),
             )
         else:
-            core.outbox.send(sender, words.Nack(core.life, message.life, message.slot, core.voter.memory.promised))
+            core.outbox.send(
+                sender, words.Nack(core.incarnation, message.life, message.slot, core.voter.state.promised)
+            )
 
     def on_accept(self, now: float, sender: int, message: words.Accept) -> None:
         """Vote, or tell of a later ballot."""
@@ -102,10 +108,12 @@
         self.seen_ballot = max(self.seen_ballot, message.ballot)
         core.transfer.seek(message.digest, sender)
         if core.voter.accept(now, message.ballot, message.digest):
-            core.keep()
-            core.outbox.send(sender, words.Accepted(core.life, message.life, message.slot, message.ballot))
+            core.persist()
+            core.outbox.send(sender, words.Accepted(core.incarnation, message.life, message.slot, message.ballot))
         else:
-            core.outbox.send(sender, words.Nack(core.life, message.life, message.slot, core.voter.memory.promised))
+            core.outbox.send(
+                sender, words.Nack(core.incarnation, message.life, message.slot, core.voter.state.promised)
+            )
 
     def on_promise(self, now: float, sender: int, message: words.Promise) -> None:
         """Count a promise."""
@@ -117,7 +125,7 @@
             and sender in core.pace.voters
             and ballot.open(now, core.pace)
         ):
-            core.promised(now, ballot, sender, message.accepted, message.digest)
+            core.record_promise(now, ballot, sender, message.accepted, message.digest)
 
     def on_accepted(self, now: float, sender: int, message: words.Accepted) -> None:
         """Count a vote."""
@@ -129,7 +137,7 @@
             and sender in core.pace.voters
             and ballot.open(now, core.pace)
         ):
-            core.voted(now, ballot, sender)
+            core.record_vote(now, ballot, sender)
 
     def on_nack(self, now: float, sender: int, message: words.Nack) -> None:
         """Hear of a later ballot: ours is over, and the next waits its turn."""
--- a/petrelhall/distribution/consensus.py
+++ b/petrelhall/distribution/consensus.py
@@ -10,7 +10,7 @@
 from petrelhall.accord import core
 from petrelhall.accord.documents import digest_of
 from petrelhall.accord.plan import Pace, pace
-from petrelhall.accord.votes import Memory
+from petrelhall.accord.votes import VoterState
 from petrelhall.accord.words import FULL
 from petrelhall.configuration.records import FIRST_RECORD, ControlRecord, decode_record, encode_record
 from petrelhall.distribution.coordinator import ConsensusState, ProposalFailed
@@ -32,7 +32,7 @@
 class PersistVotes:
     """Write this down, safely, before any of the actions that follow is carried out."""
 
-    memory: Memory
+    memory: VoterState
     documents: tuple[bytes, ...]
 
 
@@ -79,10 +79,10 @@
         timing: Timing,
         seed: int,
         now: float,
-        memory: Memory | None = None,
+        memory: VoterState | None = None,
         documents: tuple[bytes, ...] = (),
     ) -> None:
-        self.accord = core.Accord(
+        self.accord = core.ConsensusCore(
             number,
             incarnation,
             replica_pace(replicas, timing),
@@ -117,8 +117,8 @@
         for action in actions:
             if isinstance(action, core.Send):
                 found.append(SendConsensus(action.to, action.content))
-            elif isinstance(action, core.Keep):
-                found.append(PersistVotes(action.memory, action.documents))
+            elif isinstance(action, core.PersistState):
+                found.append(PersistVotes(action.state, action.documents))
             elif isinstance(action, core.Serve):
                 self.slot, self.record = action.version, decode_record(action.document)
         self.collect_failures()
@@ -146,5 +146,5 @@
         accord = self.accord
         if self.slot < 0:
             return None
-        current = accord.certain and accord.known.version == self.slot
+        current = accord.has_decision and accord.last_decision.version == self.slot
         return ConsensusState(self.slot, self.record, accord.holder.until[FULL] if current else -math.inf)
--- a/petrelhall/distribution/replica.py
+++ b/petrelhall/distribution/replica.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from petrelhall.accord.votes import Memory
+from petrelhall.accord.votes import VoterState
 from petrelhall.configuration.deltas import Delta
 from petrelhall.configuration.document import Document
 from petrelhall.configuration.errors import ConfigurationError
@@ -110,7 +110,7 @@
         timing: Timing,
         seed: int,
         now: float,
-        memory: Memory | None = None,
+        memory: VoterState | None = None,
         documents: tuple[bytes, ...] = (),
         document: Document | None = None,
     ) -> None:
--- a/petrelhall/emulate/accord.py
+++ b/petrelhall/emulate/accord.py
@@ -13,9 +13,9 @@
 from typing import Any
 
 from petrelhall.accord import words
-from petrelhall.accord.core import Accord, Heard, Keep, Propose, Send, Tick
+from petrelhall.accord.core import ConsensusCore, Heard, PersistState, Propose, Send, Tick
 from petrelhall.accord.plan import RHO, Pace, pace
-from petrelhall.accord.votes import Memory
+from petrelhall.accord.votes import VoterState
 from petrelhall.emulate.fabric import Fabric, Links
 from petrelhall.emulate.search import Found
 from petrelhall.standins.policies import Admitted, Claim, Record
@@ -115,16 +115,16 @@
 class World:
     """One state of the search; copied by pickling it."""
 
-    kind: type[Accord]
+    kind: type[ConsensusCore]
     disk: bool = False  # whether gateways have folders that last
     pace: Pace = PACE
     now: float = 0.0
     lives: int = 0
     proposals: int = 0
     ticks: int = 0
-    cores: dict[int, Accord] = field(default_factory=dict)
+    cores: dict[int, ConsensusCore] = field(default_factory=dict)
     clocks: dict[int, tuple[float, float]] = field(default_factory=dict)
-    disks: dict[int, tuple[Memory, tuple[bytes, ...]]] = field(default_factory=dict)
+    disks: dict[int, tuple[VoterState, tuple[bytes, ...]]] = field(default_factory=dict)
     late: list[tuple[int, int, bytes]] = field(default_factory=list)
     held: dict[int, list[tuple[int, bytes]]] = field(default_factory=dict)
     record: Record = field(default_factory=Record)
@@ -171,7 +171,7 @@
             self.proposals += 1
             core = self.cores[number]
             document = b"doc %d" % self.proposals
-            self.carry(number, core.handle(self.clock(number), Propose(document, core.known.version)), turn)
+            self.carry(number, core.handle(self.clock(number), Propose(document, core.last_decision.version)), turn)
         for step in range(turn.steps):
             if turn.started is not None and step == int(turn.at * turn.steps):
                 self.held.pop(turn.started, None)
@@ -189,7 +189,7 @@
     def look(self, number: int) -> None:
         """Admit a request where it may be, and see what operators are told."""
         core = self.cores[number]
-        if core.allowed(self.clock(number)) and core.serving is not None:
+        if core.can_admit(self.clock(number)) and core.serving is not None:
             version, digest, before = core.serving
             self.record.admitted.append(Admitted(self.now, number, version, digest.hex()[:8], before is not None))
         for change in core.changes:
@@ -201,8 +201,8 @@
     def carry(self, sender: int, actions: Iterable[Any], turn: Turn) -> None:
         """Carry out a core's actions."""
         for action in list(actions):
-            if isinstance(action, Keep) and self.disk:
-                self.disks[sender] = action.memory, action.documents
+            if isinstance(action, PersistState) and self.disk:
+                self.disks[sender] = action.state, action.documents
             if not isinstance(action, Send):
                 continue
             if self.before_send is not None:
@@ -252,7 +252,7 @@
         self.record.admitted = [one for some in kept.values() for one in {some[0], some[-1]}]
 
 
-def settled(kind: type[Accord], disk: bool = False, paces: Pace = PACE, document: bytes = FILE) -> World:
+def settled(kind: type[ConsensusCore], disk: bool = False, paces: Pace = PACE, document: bytes = FILE) -> World:
     """Give gateways that have begun together and serve version 0."""
     world = World(kind, disk, paces, document=document)
     for number in range(paces.members):
@@ -262,7 +262,9 @@
     return world
 
 
-def explore(depth: int, kind: type[Accord] = Accord, disk: bool = False, turns: list[Turn] | None = None) -> Found:
+def explore(
+    depth: int, kind: type[ConsensusCore] = ConsensusCore, disk: bool = False, turns: list[Turn] | None = None
+) -> Found:
     """Play every sequence of so many turns, each followed by calm in which all must come to serve again."""
     first = pickle.dumps(settled(kind, disk))
     found = Found()
@@ -282,9 +284,9 @@
                 found.broken += [f"{' / '.join((*path, turn.name))}: {one}" for one in wrong]
                 if not disk and sum("killed" in name for name in (*path, turn.name)) > 1:
                     pass  # a majority may have forgotten: nobody decides, which is as it must be
-                elif not all(core.allowed(world.clock(number)) for number, core in world.cores.items()):
+                elif not all(core.can_admit(world.clock(number)) for number, core in world.cores.items()):
                     found.broken.append(f"{' / '.join((*path, turn.name))}: not all serve again")
-                elif len({core.known.digest for core in world.cores.values()}) > 1:
+                elif len({core.last_decision.digest for core in world.cores.values()}) > 1:
                     found.broken.append(f"{' / '.join((*path, turn.name))}: versions differ after calm")
                 if len(found.broken) >= 3:
                     return found
@@ -303,22 +305,22 @@
         self.pace, self.seed, self.lives = paces, seed, 0
         self.words: Counter[int] = Counter()  # sent, by member
 
-    def start(self, number: int, now: float) -> Accord:
+    def start(self, number: int, now: float) -> ConsensusCore:
         """Give a new core, empty."""
         self.lives += 1
-        return Accord(number, self.lives, self.pace, FILE, anything, self.seed * 10000 + self.lives, now)
+        return ConsensusCore(number, self.lives, self.pace, FILE, anything, self.seed * 10000 + self.lives, now)
 
-    def sends(self, core: Accord, actions: Iterable[Any]) -> list[tuple[int | None, bytes]]:
+    def sends(self, core: ConsensusCore, actions: Iterable[Any]) -> list[tuple[int | None, bytes]]:
         """Give the datagrams among actions."""
         found: list[tuple[int | None, bytes]] = [(one.to, one.content) for one in actions if isinstance(one, Send)]
         self.words[core.number] += len(found)
         return found
 
-    def tick(self, core: Accord, now: float) -> Iterable[tuple[int | None, bytes]]:
+    def tick(self, core: ConsensusCore, now: float) -> Iterable[tuple[int | None, bytes]]:
         """Let time pass for a core."""
         return self.sends(core, core.handle(now, Tick()))
 
-    def hear(self, core: Accord, now: float, sender: int, content: bytes) -> Iterable[tuple[int | None, bytes]]:
+    def hear(self, core: ConsensusCore, now: float, sender: int, content: bytes) -> Iterable[tuple[int | None, bytes]]:
         """Give a core a datagram."""
         return self.sends(core, core.handle(now, Heard(sender, content)))
 
@@ -358,7 +360,7 @@
             step()
         return (fabric.now - began) / 1000.0
 
-    def running() -> list[Accord]:
+    def running() -> list[ConsensusCore]:
         return [core for number, core in fabric.cores.items() if number not in apart]
 
     def crossing(one: int, other: int) -> bool:
@@ -367,16 +369,16 @@
     def step() -> None:
         fabric.run(fabric.now + TICK_MS)
         for number, core in fabric.cores.items():
-            if core.allowed(fabric.now) and core.serving is not None:
+            if core.can_admit(fabric.now) and core.serving is not None:
                 version, digest, before = core.serving
                 record.admitted.append(Admitted(fabric.now, number, version, digest.hex()[:8], before is not None))
         some = running()
-        seen.append(sum(not core.allowed(fabric.now) for core in some) / len(some))
+        seen.append(sum(not core.can_admit(fabric.now) for core in some) / len(some))
 
     apart = struck = set[int]()
     seen: list[float] = []
     longest = 20.0 * (paces.life_ms + paces.fence_ms + paces.check_ms)
-    settle(lambda: all(core.allowed(fabric.now) for core in fabric.cores.values()), longest)
+    settle(lambda: all(core.can_admit(fabric.now) for core in fabric.cores.values()), longest)
     seen.clear()
     began, words_before = fabric.now, sum(driver.words.values())
     before = Counter(driver.words)
@@ -394,15 +396,15 @@
                 fabric.links.cut = crossing
         number = draw.choice([core.number for core in running()])
         core = fabric.cores[number]
-        version = core.known.version + 1
+        version = core.last_decision.version + 1
         fabric.send(number, driver.sends(core, core.handle(fabric.now, Propose(b"doc %d" % serial, version - 1))))
         start = fabric.now
 
-        def ended(core: Accord = core, version: int = version) -> bool:
+        def ended(core: ConsensusCore = core, version: int = version) -> bool:
             return any(change.over for change in core.changes if change.slot == version)
 
         def all_serve(version: int = version) -> bool:
-            return all(core.allowed(fabric.now) and core.known.version >= version for core in running())
+            return all(core.can_admit(fabric.now) and core.last_decision.version >= version for core in running())
 
         settle(ended, longest)
         change = core.changes[-1]
--- a/petrelhall/emulate/distribution.py
+++ b/petrelhall/emulate/distribution.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from petrelhall.accord.votes import Memory
+from petrelhall.accord.votes import VoterState
 from petrelhall.configuration.document import Document
 from petrelhall.configuration.versions import Entry
 from petrelhall.distribution.consensus import PersistVotes, SendConsensus
@@ -137,7 +137,7 @@
         self.connections = itertools.count(1)
         self.routes: dict[int, Route] = {}
         self.by_link: dict[tuple[Node, int, int], int] = {}
-        self.votes: dict[int, tuple[Memory, tuple[bytes, ...]]] = {}
+        self.votes: dict[int, tuple[VoterState, tuple[bytes, ...]]] = {}
         self.contents: dict[int, Document] = {}
         self.outcomes: dict[str, Outcome] = {}
         self.in_force_at: dict[tuple[int, int], float] = {}  # by gateway and version
--- a/petrelhall/gateway/agreement.py
+++ b/petrelhall/gateway/agreement.py
@@ -18,24 +18,24 @@
 
 from petrelhall.accord.core import (
     Abort,
-    Accord,
-    Begin,
+    ConsensusCore,
+    DeclareVotersLost,
     Dropped,
     Event,
     Heard,
-    Keep,
+    Notice,
+    PersistState,
     Propose,
     Quiet,
     Send,
     Serve,
-    Settle,
+    SettleSlot,
     Tick,
-    Told,
 )
 from petrelhall.accord.documents import digest_of
 from petrelhall.accord.plan import pace
 from petrelhall.accord.view import change_row
-from petrelhall.accord.votes import Memory
+from petrelhall.accord.votes import VoterState
 from petrelhall.accord.words import FULL, KIND
 from petrelhall.control.calls import Policy
 from petrelhall.decide import interface as api
@@ -58,7 +58,7 @@
 
     format_version: int
     gateway: int
-    memory: Memory
+    memory: VoterState
     documents: tuple[bytes, ...]
 
 
@@ -101,7 +101,7 @@
         stored = self.load() if may_vote else None
         # Random, so that it differs from the incarnations of earlier processes.
         incarnation = int.from_bytes(os.urandom(4), "big") >> 1 | 1
-        self.core = Accord(
+        self.core = ConsensusCore(
             self.number,
             incarnation,
             timing,
@@ -128,7 +128,7 @@
         if epoch is not None and epoch != self.epoch:
             return False
         now = now_ms()
-        if self.core.allowed(now) or (self.serves_file_at_start and not self.core.certain):
+        if self.core.can_admit(now) or (self.serves_file_at_start and not self.core.has_decision):
             self.last_held_at, self.was_ready = now, True
             return True
         return False
@@ -188,15 +188,15 @@
             if isinstance(action, Send):
                 self.peers.send(action.content, (action.to,))
                 self.counts.add("accord", "words")
-            elif isinstance(action, Keep):
+            elif isinstance(action, PersistState):
                 if not self.save(action):
                     # A vote that is not on disk must not be sent: a restart would forget it.
                     self.core.handle(now_ms(), Quiet())
                     break
             elif isinstance(action, Serve):
                 self.apply_version(action)
-            elif isinstance(action, Told):
-                self.log(f"policy: {action.what}")
+            elif isinstance(action, Notice):
+                self.log(f"policy: {action.text}")
             elif isinstance(action, Dropped):
                 self.counts.add("accord", f"dropped_{action.why}")
         if self.core.serving is not before:
@@ -208,10 +208,10 @@
     def apply_version(self, action: Serve) -> None:
         """Apply a version, or two versions of which either may be in force."""
         self.counts.add("accord", "served")
-        self.apply(decode(action.document), decode(action.before) if action.before is not None else None)
+        self.apply(decode(action.document), decode(action.previous) if action.previous is not None else None)
         self.log(
             f"policy: serving version {action.version}"
-            + (", by the stricter of it and the version before in each field" if action.before is not None else "")
+            + (", by the stricter of it and the version before in each field" if action.previous is not None else "")
         )
 
     def document_problem(self, content: bytes) -> str:
@@ -279,11 +279,11 @@
         self.lock_fd = lock
         return True
 
-    def save(self, action: Keep) -> bool:
+    def save(self, action: PersistState) -> bool:
         """Store a voter's state; return False if it must be stored and could not be."""
         if not self.settings.folder:
             return True
-        data = msgspec.msgpack.encode(StoredVotes(1, self.number, action.memory, action.documents))
+        data = msgspec.msgpack.encode(StoredVotes(1, self.number, action.state, action.documents))
         try:
             write_durably(self.path, zlib.crc32(data).to_bytes(4, "big") + data)
         except OSError as error:
@@ -297,10 +297,10 @@
         """Return the state for ``GET /control/policy``."""
         now = now_ms()
         view = self.core.view(now)
-        document = self.core.documents.held.get(self.core.known.digest) if self.core.certain else None
+        document = self.core.documents.held.get(self.core.last_decision.digest) if self.core.has_decision else None
         return {
             **view,
-            "kind": "full" if self.core.kind == FULL else "either",
+            "kind": "full" if self.core.lease_kind == FULL else "either",
             "document": msgspec.json.decode(document) if document is not None else None,
         }
 
@@ -321,9 +321,9 @@
         if call.what == "abort":
             self.handle(Abort(bytes.fromhex(call.digest)))
         elif call.what == "settle":
-            self.handle(Settle())
+            self.handle(SettleSlot())
         elif call.what == "begin":
-            self.handle(Begin())
+            self.handle(DeclareVotersLost())
         return 200, self.core.view(now_ms())
 
     def propose(self, content: bytes, base: int) -> tuple[int, dict[str, Any]]:
--- a/petrelhall/hollow/fleet.py
+++ b/petrelhall/hollow/fleet.py
@@ -121,10 +121,10 @@
         if gateway.agreement is None:  # its consensus is just being put together
             return
         now, core = now_ms(), gateway.agreement.core
-        if core.certain and self.known.get(gateway.number) != core.known.version:
-            self.known[gateway.number] = core.known.version
-            digest = core.known.digest.hex()
-            self.history.append(Committed(now, core.known.version, digest, self.names.get(digest, "")))
+        if core.has_decision and self.known.get(gateway.number) != core.last_decision.version:
+            self.known[gateway.number] = core.last_decision.version
+            digest = core.last_decision.digest.hex()
+            self.history.append(Committed(now, core.last_decision.version, digest, self.names.get(digest, "")))
         served = gateway.served()
         if served is not None:
             self.history.append(Admitted(now, gateway.number, *served))
@@ -148,7 +148,7 @@
         self.names[digest] = name
         self.proposed_at[name] = now_ms()
         self.history.append(Proposed(now_ms(), name, digest))
-        gateway.running.propose(document, core.known.version)
+        gateway.running.propose(document, core.last_decision.version)
         return name
 
     def everyone_serves(self, version: int) -> bool:
--- a/petrelhall/replica/storage.py
+++ b/petrelhall/replica/storage.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from petrelhall.accord.votes import Memory
+from petrelhall.accord.votes import VoterState
 from petrelhall.configuration.deltas import Delta, SnapshotPart
 from petrelhall.configuration.document import Assembly, Document
 from petrelhall.configuration.errors import ConfigurationError
@@ -31,7 +31,7 @@
 
     form: int
     replica: int
-    memory: Memory
+    memory: VoterState
     documents: tuple[bytes, ...]
 
 
@@ -69,7 +69,7 @@
             raise StorageError(f"{self.votes_path}: is of form {stored.form} and replica {stored.replica}")
         return stored
 
-    def save_votes(self, memory: Memory, documents: tuple[bytes, ...]) -> None:
+    def save_votes(self, memory: VoterState, documents: tuple[bytes, ...]) -> None:
         """Write the votes; they are on the disk when this returns (StorageError)."""
         content = msgspec.msgpack.encode(StoredVotes(FORM, self.replica, memory, documents))
         try:
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -23,11 +23,23 @@
 
 from petrelhall.accord import words
 from petrelhall.accord.change import Ballot, ballot_number
-from petrelhall.accord.core import Abort, Accord, Begin, Dropped, Heard, Keep, Propose, Quiet, Send, Settle, Tick
+from petrelhall.accord.core import (
+    Abort,
+    ConsensusCore,
+    DeclareVotersLost,
+    Dropped,
+    Heard,
+    PersistState,
+    Propose,
+    Quiet,
+    Send,
+    SettleSlot,
+    Tick,
+)
 from petrelhall.accord.documents import DATA, KEPT, MOST_BYTES, Documents, digest_of
 from petrelhall.accord.lease import Holder
 from petrelhall.accord.plan import MARGIN, RHO, Pace, pace, voters_of
-from petrelhall.accord.votes import Memory, Voter, best
+from petrelhall.accord.votes import Voter, VoterState, merge_states
 from petrelhall.accord.words import EITHER, FULL, NONE, STEPS, Ask
 from petrelhall.cli.main import main
 from petrelhall.control.calls import Call, Policy, read_call
@@ -72,8 +84,8 @@
         return Ask(life, 1, version, digest, 1000, True, either)
 
     def voter(self, strictest: bool = False) -> Voter:
-        voter = Voter(dataclasses.replace(PACE, strictest=strictest), Memory(0, b"d0"), -1e6)
-        voter.fence = 0.0
+        voter = Voter(dataclasses.replace(PACE, strictest=strictest), VoterState(0, b"d0"), -1e6)
+        voter.fence_until = 0.0
         return voter
 
     def test_a_version_is_granted_only_once_every_lease_on_the_one_before_is_over_or_given_back(self) -> None:
@@ -82,8 +94,8 @@
         self.assertEqual(voter.grant(0.0, 0, self.ask(0, digest=b"d0")), FULL)
         voter.learn(1, b"d1")
         self.assertEqual(voter.grant(10.0, 0, self.ask()), NONE)  # 2 may still serve by version 0
-        self.assertEqual(voter.cleared(1000.0), [])  # its lease runs by its own clock, which may be slow
-        self.assertEqual([member for member, _ in voter.cleared(1000.0 * MARGIN)], [0])
+        self.assertEqual(voter.take_ready_requests(1000.0), [])  # its lease runs by its own clock, which may be slow
+        self.assertEqual([member for member, _ in voter.take_ready_requests(1000.0 * MARGIN)], [0])
         voter = self.voter()
         voter.grant(0.0, 2, self.ask(0, digest=b"d0"))
         voter.learn(1, b"d1")
@@ -100,10 +112,10 @@
         self.assertEqual(voter.grant(0.0, 0, self.ask(0, digest=b"d0")), NONE)
         self.assertFalse(voter.promise(4))
         voter.learn(1, b"y")  # decided to be another: the slot is another now
-        self.assertEqual((voter.memory.accepted, voter.memory.promised), (0, 0))
+        self.assertEqual((voter.state.accepted, voter.state.promised), (0, 0))
 
     def test_nothing_is_granted_by_one_that_is_empty_or_whose_earlier_life_may_have_granted(self) -> None:
-        voter = Voter(PACE, Memory(1, b"d1"), 0.0)
+        voter = Voter(PACE, VoterState(1, b"d1"), 0.0)
         self.assertEqual(voter.grant(PACE.fence_ms - 1.0, 0, self.ask()), NONE)
         self.assertEqual(voter.grant(PACE.fence_ms, 0, self.ask()), FULL)
         self.assertGreaterEqual(PACE.fence_ms, MARGIN * PACE.life_ms)
@@ -156,7 +168,8 @@
         self.assertEqual(len(numbers), 8)
         self.assertGreater(ballot_number(ballot_number(0, 4, 9), 0, 1), ballot_number(0, 4, 9))
         self.assertEqual(
-            best([Memory(1, b"a", 9), Memory(2, b"b", 3, 2, b"x"), Memory(2, b"b", 7)]), Memory(2, b"b", 7, 2, b"x")
+            merge_states([VoterState(1, b"a", 9), VoterState(2, b"b", 3, 2, b"x"), VoterState(2, b"b", 7)]),
+            VoterState(2, b"b", 7, 2, b"x"),
         )
 
     def test_words_fit_for_a_thousand_members_and_junk_is_told_apart(self) -> None:
@@ -207,9 +220,9 @@
         self.worlds: list[World] = []
 
     def world(self, paces: Pace = PACE, disk: bool = False, document: bytes = FILE) -> World:
-        world = settled(Accord, disk, paces, document)
+        world = settled(ConsensusCore, disk, paces, document)
         self.worlds.append(world)
-        self.assertTrue(all(core.allowed(world.clock(number)) for number, core in world.cores.items()))
+        self.assertTrue(all(core.can_admit(world.clock(number)) for number, core in world.cores.items()))
         return world
 
     def tearDown(self) -> None:
@@ -218,7 +231,7 @@
 
     def propose(self, world: World, number: int, content: bytes, base: int | None = None) -> None:
         core = world.cores[number]
-        event = Propose(content, core.known.version if base is None else base)
+        event = Propose(content, core.last_decision.version if base is None else base)
         world.carry(number, core.handle(world.clock(number), event), Turn("well"))
 
     def ends(self, world: World, number: int) -> list[str]:
@@ -227,7 +240,7 @@
     def versions(self, world: World) -> list[int]:
         """Give the version that each gateway may serve now, -1 for none."""
         return [
-            core.serving[0] if core.serving and core.allowed(world.clock(number)) else -1
+            core.serving[0] if core.serving and core.can_admit(world.clock(number)) else -1
             for number, core in sorted(world.cores.items())
         ]
 
@@ -238,7 +251,7 @@
         self.assertEqual((self.ends(world, 3), self.versions(world)), (["in force"], [1] * 5))
         self.propose(world, 3, b"one", base=0)  # the same document again is the same change
         self.assertEqual(self.ends(world, 3), ["in force"])
-        self.assertEqual(world.cores[3].owed(world.clock(3)), [])
+        self.assertEqual(world.cores[3].members_behind(world.clock(3)), [])
 
     def test_an_operator_is_answered_with_the_row_of_the_change_that_the_view_shows(self) -> None:
         for content, base, status in ((b"one", 0, 200), (b"bad", 0, 409), (b"two", 1, 409)):
@@ -275,7 +288,7 @@
         self.propose(world, 0, b"one", base=4)
         self.propose(world, 0, bytes(MOST_BYTES + 1))
         self.assertEqual(self.ends(world, 0), ["nowhere", "nowhere"])
-        fresh = Accord(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
+        fresh = ConsensusCore(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
         fresh.handle(0.0, Propose(b"x", 0))
         self.assertEqual(fresh.changes[0].state, "nowhere")
 
@@ -289,14 +302,14 @@
         self.assertEqual(self.versions(world)[:2], [1, 1])
         took = world.cores[0].changes[0]
         self.assertLess(took.ended - took.began, MARGIN * FIVE.life_ms + 1000.0)
-        self.assertIn(2, world.cores[0].owed(world.clock(0)))
+        self.assertIn(2, world.cores[0].members_behind(world.clock(0)))
         world.now += 3_600_000.0  # an hour later by its clock
         world.start(2)
-        self.assertFalse(world.cores[2].allowed(world.clock(2)))
+        self.assertFalse(world.cores[2].can_admit(world.clock(2)))
         for _ in range(5):
             world.take(CALM)
         self.assertEqual(self.versions(world), [1] * 5)
-        self.assertEqual(world.cores[0].owed(world.clock(0)), [])
+        self.assertEqual(world.cores[0].members_behind(world.clock(0)), [])
 
     def test_one_whose_checks_refuse_what_was_decided_without_it_does_not_serve_and_says_why(self) -> None:
         world = self.world(FIVE)
@@ -389,15 +402,15 @@
         for _ in range(5):
             world.take(CALM)
         self.assertEqual(self.versions(world), [-1] * 5)
-        self.assertIn("2 voters that remember", world.cores[4].trouble)
+        self.assertIn("2 voters that remember", world.cores[4].not_serving_reason)
         for number in (2, 3, 4):
-            world.cores[number].handle(world.clock(number), Begin())
+            world.cores[number].handle(world.clock(number), DeclareVotersLost())
         for _ in range(5):
             world.take(CALM)
         self.assertEqual(self.versions(world), [1] * 5)
 
     def test_files_that_differ_at_the_first_start_serve_nobody_and_are_named(self) -> None:
-        world = World(Accord, paces_of := False, PACE)
+        world = World(ConsensusCore, paces_of := False, PACE)
         self.assertFalse(paces_of)
         for number in range(3):
             world.document = b"another" if number == 1 else FILE
@@ -405,7 +418,7 @@
         for _ in range(5):
             world.take(CALM)
         self.assertEqual(self.versions(world), [-1] * 3)
-        self.assertIn("differs from that of [1]", world.cores[0].trouble)
+        self.assertIn("differs from that of [1]", world.cores[0].not_serving_reason)
 
     def test_a_rollback_while_one_is_still_owed_the_change_is_a_change_like_any_other(self) -> None:
         world = self.world(FIVE)
@@ -422,7 +435,7 @@
         for _ in range(4):
             world.take(CALM)
         self.assertEqual(self.versions(world), [3] * 5)
-        self.assertEqual({core.known.digest for core in world.cores.values()}, {digest_of(b"one")})
+        self.assertEqual({core.last_decision.digest for core in world.cores.values()}, {digest_of(b"one")})
 
     def test_sixty_kilobytes_over_a_network_that_loses_a_fifth(self) -> None:
         world = self.world()
@@ -447,11 +460,11 @@
         world.take(CALM)
         self.propose(world, 0, b"two")
         world.take(CALM)
-        before = [core.known for core in world.cores.values()]
+        before = [core.last_decision for core in world.cores.values()]
         for receiver, sender, content in said:
             for bytes_ in (content, content[:9] + b"\xff" + content[10:]):
                 world.cores[receiver].handle(world.clock(receiver), Heard(sender, bytes_))
-        self.assertEqual([core.known for core in world.cores.values()], before)
+        self.assertEqual([core.last_decision for core in world.cores.values()], before)
         world.give = carry  # type: ignore[method-assign]
         for _ in range(3):
             world.take(CALM)
@@ -461,16 +474,16 @@
         world = self.world()
         core = world.cores[0]
         now = world.clock(0)
-        grant = words.Grant(9, core.life + 1, core.holder.nonce, FULL, 1000, 0, core.known.digest, b"")
+        grant = words.Grant(9, core.incarnation + 1, core.holder.nonce, FULL, 1000, 0, core.last_decision.digest, b"")
         found = core.handle(now, Heard(1, words.encode(grant, 3, 3)))
         self.assertIn(Dropped("other_life"), found)
         for late, version in ((PACE.ballot_ms + 1.0, 0), (0.0, 1)):
             core.ballot = Ballot(1, 77, now - late, b"x", value=b"x")
             for voter in (1, 2):  # as a process that stood still would find them waiting
                 if core.ballot is not None:
-                    vote = words.encode(words.Accepted(9, core.life, 1, 77), 3, 3)
+                    vote = words.encode(words.Accepted(9, core.incarnation, 1, 77), 3, 3)
                     core.on_message(now, voter, vote)
-            self.assertEqual(core.known.version, version)
+            self.assertEqual(core.last_decision.version, version)
         self.worlds.remove(world)  # nobody has such a document
 
     def test_what_was_not_voted_on_can_be_taken_back_and_a_slot_can_be_closed(self) -> None:
@@ -480,32 +493,32 @@
         core = world.cores[0]
         core.handle(world.clock(0), Abort(digest_of(b"one")))
         self.assertEqual(self.ends(world, 0), ["nowhere"])
-        core.handle(world.clock(0), Settle())
+        core.handle(world.clock(0), SettleSlot())
         world.take(Turn("well", steps=60))
-        self.assertEqual((core.known.version, core.known.digest), (1, digest_of(FILE)))
+        self.assertEqual((core.last_decision.version, core.last_decision.digest), (1, digest_of(FILE)))
         self.assertEqual(self.versions(world)[0], 1)
 
     def test_who_takes_over_at_an_upgrade_waits_for_earlier_grants_and_goes_on_with_earlier_votes(self) -> None:
-        for memory in (None, Memory(3, digest_of(b"three"), 9, 9, b"voted on")):
-            core = Accord(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
+        for memory in (None, VoterState(3, digest_of(b"three"), 9, 9, b"voted on")):
+            core = ConsensusCore(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
             core.may_vote = False
             late = 5.0 * PACE.fence_ms
             core.handle(late, Tick())
             self.assertEqual(core.recovery.query, None)  # it asks nobody what to remember while the other may vote
             core.take_over(late, memory, (b"three",))
             assert core.voter is not None
-            self.assertEqual((core.voter.fence, core.voter.remembers), (late + PACE.fence_ms, memory is not None))
-            self.assertEqual(core.voter.memory, memory or Memory())
+            self.assertEqual((core.voter.fence_until, core.voter.has_state), (late + PACE.fence_ms, memory is not None))
+            self.assertEqual(core.voter.state, memory or VoterState())
             core.handle(late + PACE.fence_ms - 1.0, Tick())
             self.assertEqual(core.recovery.query, None)  # nor while ballots may be open in which that one voted
             core.handle(late + PACE.fence_ms + PACE.retry_ms, Tick())
             self.assertEqual(core.recovery.query is not None, memory is None)
 
     def test_one_that_does_not_remember_writes_nothing_down_that_would_pass_for_a_memory(self) -> None:
-        core = Accord(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
+        core = ConsensusCore(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
         word = words.encode(words.Decided(9, ((4, digest_of(b"four")),)), 3, 3)
         found = core.handle(1.0, Heard(1, word))
-        self.assertEqual((core.known.version, [one for one in found if isinstance(one, Keep)]), (4, []))
+        self.assertEqual((core.last_decision.version, [one for one in found if isinstance(one, PersistState)]), (4, []))
 
     def test_one_that_starts_learns_how_earlier_changes_ended(self) -> None:
         world = self.world(FIVE)
@@ -522,9 +535,9 @@
         world = self.world()
         core, now = world.cores[0], world.clock(0)
         self.assertEqual(core.handle(now, Quiet()), [])
-        self.assertTrue(core.allowed(now))
+        self.assertTrue(core.can_admit(now))
         self.assertEqual(core.handle(now + 500.0, Tick()), [])
-        self.assertFalse(core.allowed(now + PACE.life_ms))
+        self.assertFalse(core.can_admit(now + PACE.life_ms))
 
     def test_what_must_not_be_forgotten_is_kept_before_it_is_said(self) -> None:
         world = self.world(disk=True)
@@ -532,11 +545,11 @@
         for number, core in world.cores.items():
             handle = core.handle
 
-            def watched(now: float, event: Any, handle: Any = handle, core: Accord = core) -> Any:
+            def watched(now: float, event: Any, handle: Any = handle, core: ConsensusCore = core) -> Any:
                 found = handle(now, event)
                 for action in found:
-                    if isinstance(action, Keep):
-                        order.append(f"{core.number} kept {action.memory.accepted > 0}")
+                    if isinstance(action, PersistState):
+                        order.append(f"{core.number} kept {action.state.accepted > 0}")
                     elif isinstance(action, Send) and isinstance(words.decode(action.content, 3, 3), words.Accepted):
                         order.append(f"{core.number} voted")
                 return found
@@ -586,34 +599,38 @@
         self.assertEqual(len(set(versions)), 1, versions)
         self.assertNotIn(-1, versions)
         if self.ends(world, 0) not in (["in force"], ["nowhere"]):  # forgotten with its process, or not known
-            world.cores[1].handle(world.clock(1), Settle())
+            world.cores[1].handle(world.clock(1), SettleSlot())
             world.take(CALM)
         decided = dict(world.cores[1].history)
         self.assertIn(decided.get(1), (digest_of(b"one"), digest_of(FILE), None))
 
 
-class VotesAfterAnEmptyStart(Accord):
+class VotesAfterAnEmptyStart(ConsensusCore):
     """Takes what its file says for what is decided, and votes at once."""
 
     def __init__(self, *arguments: Any, **more: Any) -> None:
         super().__init__(*arguments, **more)
-        if self.voter is not None and self.life > 3:
-            self.voter.memory, self.voter.remembers, self.voter.fence = Memory(0, self.file), True, -math.inf
+        if self.voter is not None and self.incarnation > 3:
+            self.voter.state, self.voter.has_state, self.voter.fence_until = (
+                VoterState(0, self.file_digest),
+                True,
+                -math.inf,
+            )
 
 
-class ForgetsItsFence(Accord):
+class ForgetsItsFence(ConsensusCore):
     """Learns and grants at once after a start, though its earlier life's leases may still run."""
 
     def __init__(self, *arguments: Any, **more: Any) -> None:
         super().__init__(*arguments, **more)
-        if self.voter is not None and self.life > 3:
-            self.voter.fence = -math.inf
+        if self.voter is not None and self.incarnation > 3:
+            self.voter.fence_until = -math.inf
 
 
-class DoesNotLookAtItsLease(Accord):
+class DoesNotLookAtItsLease(ConsensusCore):
     """Serves on after its lease is over."""
 
-    def allowed(self, now: float) -> bool:
+    def can_admit(self, now: float) -> bool:
         return self.serving is not None
 
 
@@ -625,31 +642,35 @@
         return super().grant(now, member, ask)
 
 
-class TakesHoldBeforeLeasesEnd(Accord):
+class TakesHoldBeforeLeasesEnd(ConsensusCore):
     """Its voters do not wait for earlier leases."""
 
     def __init__(self, *arguments: Any, **more: Any) -> None:
         super().__init__(*arguments, **more)
         if self.voter is not None:
             voter, self.voter = self.voter, Grants(self.pace, None, 0.0)
-            self.voter.fence, self.voter.remembers, self.voter.memory = voter.fence, voter.remembers, voter.memory
+            self.voter.fence_until, self.voter.has_state, self.voter.state = (
+                voter.fence_until,
+                voter.has_state,
+                voter.state,
+            )
 
 
-class ProposesItsOwn(Accord):
+class ProposesItsOwn(ConsensusCore):
     """Passes over what others have accepted."""
 
-    def promised(self, now: float, ballot: Ballot, voter: int, accepted: int, digest: bytes) -> None:
-        super().promised(now, ballot, voter, 0, digest)
+    def record_promise(self, now: float, ballot: Ballot, voter: int, accepted: int, digest: bytes) -> None:
+        super().record_promise(now, ballot, voter, 0, digest)
 
 
-class DecidesAlone(Accord):
+class DecidesAlone(ConsensusCore):
     """Takes one vote for a decision."""
 
-    def voted(self, now: float, ballot: Ballot, voter: int) -> None:
+    def record_vote(self, now: float, ballot: Ballot, voter: int) -> None:
         self.learn(now, ballot.slot, ballot.value, self.number)
 
 
-MISTAKES: dict[type[Accord], tuple[str, ...]] = {
+MISTAKES: dict[type[ConsensusCore], tuple[str, ...]] = {
     VotesAfterAnEmptyStart: ("0 proposes, 2 is alone", "1 is killed, 0 is alone"),
     ForgetsItsFence: ("0 hears no asks", "1 is killed for a moment", "0 proposes, 2 is alone, a moment"),
     DoesNotLookAtItsLease: ("1 proposes, 2 is alone", "well"),
@@ -683,14 +704,14 @@
 
     @initialize(disk=st.booleans())
     def begin(self, disk: bool) -> None:
-        self.world = settled(Accord, disk, FIVE)
+        self.world = settled(ConsensusCore, disk, FIVE)
         self.empty = self.made = 0
 
     @rule(number=st.integers(0, 4), good=st.booleans())
     def propose(self, number: int, good: bool) -> None:
         core = self.world.cores[number]
         self.made += 1  # each its own: one gateway's refusal of a document says nothing of another operator's
-        event = Propose(b"%s %d" % (b"doc" if good else b"bad", self.made), core.known.version)
+        event = Propose(b"%s %d" % (b"doc" if good else b"bad", self.made), core.last_decision.version)
         self.world.carry(number, core.handle(self.world.clock(number), event), Turn("well"))
 
     @rule(number=st.integers(0, 4), disk=st.booleans())
@@ -818,8 +839,8 @@
 
     def test_what_was_kept_is_found_and_what_is_spoilt_or_anothers_is_not(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            memory = Memory(3, digest_of(b"three"), 9, 9, digest_of(b"four"))
-            self.assertTrue(PolicyConsensus.save(self.part(folder), Keep(memory, (b"three", b"four"))))
+            memory = VoterState(3, digest_of(b"three"), 9, 9, digest_of(b"four"))
+            self.assertTrue(PolicyConsensus.save(self.part(folder), PersistState(memory, (b"three", b"four"))))
             kept = PolicyConsensus.load(self.part(folder))
             assert kept is not None
             self.assertEqual((kept.memory, kept.documents), (memory, (b"three", b"four")))
@@ -829,7 +850,7 @@
                 with open(os.path.join(folder, name), "wb") as file:
                     file.write(content)
                 self.assertIsNone(PolicyConsensus.load(self.part(folder, int(name[-1]))))
-            self.assertFalse(PolicyConsensus.save(self.part(os.path.join(folder, "none")), Keep(memory, ())))
+            self.assertFalse(PolicyConsensus.save(self.part(os.path.join(folder, "none")), PersistState(memory, ())))
 
 
 class Decided(unittest.TestCase):
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -16,7 +16,7 @@
 import pytest
 from click.testing import CliRunner
 
-from petrelhall.accord.votes import Memory
+from petrelhall.accord.votes import VoterState
 from petrelhall.cli.main import main as command
 from petrelhall.configuration.deltas import Delta
 from petrelhall.configuration.document import Document
@@ -103,7 +103,7 @@
 def test_votes_come_back_as_they_were_kept(tmp_path: Path) -> None:
     storage = Storage(str(tmp_path), 2)
     assert storage.load_votes() is None
-    memory = Memory(3, b"d", 9, 9, b"v")
+    memory = VoterState(3, b"d", 9, 9, b"v")
     storage.save_votes(memory, (b"one", b"two"))
     found = storage.load_votes()
     assert found is not None and (found.memory, found.documents) == (memory, (b"one", b"two"))
@@ -111,7 +111,7 @@
 
 def test_spoilt_votes_and_those_of_another_replica_are_errors(tmp_path: Path) -> None:
     storage = Storage(str(tmp_path), 2)
-    storage.save_votes(Memory(), ())
+    storage.save_votes(VoterState(), ())
     path = tmp_path / "replica-2-votes"
     (tmp_path / "replica-1-votes").write_bytes(path.read_bytes())
     with pytest.raises(StorageError, match="of form 1 and replica 2"):
