--- a/petrelhall/accord/__init__.py
+++ b/petrelhall/accord/__init__.py
@@ -1,1 +1,1 @@
-"""Changes of policy that take hold everywhere or nowhere: votes, leases, documents. Pure."""
+"""Consensus among gateways on the policy in force: ballots, leases and transfer of documents. Pure, without I/O."""
--- a/petrelhall/accord/core.py
+++ b/petrelhall/accord/core.py
@@ -1,10 +1,10 @@
-"""The core of agreement: events with the time handed in, actions as values. ``docs/design/accord.md`` has the argument.
+"""Consensus core: takes events and the current time, returns actions. Pure; ``docs/design/accord.md`` has the correctness argument.
 
-What is in force is the last document of a row of decisions, one for each version, each made by a ballot of the voters
-(single-decree Paxos). A gateway serves under a version only while it holds a lease on it that a majority granted; the
-voters see to it that no two versions can be held at once (``votes``). A process that starts empty has forgotten its
-promises: it does nothing until no lease and no ballot can be left in which its earlier incarnation took part, and then
-learns from a majority before it votes.
+The policy in force is the last in a sequence of decided documents, one for each version. Each version is decided by
+the voters with single-decree Paxos. A gateway serves a version only while it holds a lease on it from a majority of
+the voters, which ensure that no two versions are leased at once (``votes``). A process that starts without stored state
+does not know its earlier promises: it neither votes nor grants until every lease and ballot that its earlier
+incarnation took part in has expired, and then recovers its state from a majority before it votes.
 """
 
 from __future__ import annotations
@@ -64,75 +64,79 @@
 
 
 class ConsensusCore:
-    """One gateway's part in agreeing: what is known and held here, and the parts that act on it."""
+    """One gateway's consensus state, and the components that act on it.
+
+    ``document`` is the policy from the local file; ``check`` returns why a document cannot be served, or "".
+    ``stored_state`` and ``documents`` are what an earlier process stored, if anything was stored.
+    """
 
     def __init__(
         self,
         number: int,
-        life: int,
+        incarnation: int,
         pace: Pace,
         document: bytes,
         check: Callable[[bytes], str],
         seed: int,
         now: float,
-        memory: VoterState | None = None,
+        stored_state: VoterState | None = None,
         documents: tuple[bytes, ...] = (),
     ) -> None:
-        self.number, self.incarnation, self.pace = number, life, pace
+        self.number, self.incarnation, self.pace = number, incarnation, pace
         self.random = random.Random(seed)
         self.documents = Documents()
         for content in documents:
             self.documents.put(content)
-        self.file_digest = self.documents.put(
-            document
-        )  # what the file says: version 0 where nobody knows of a later one
-        self.voter = Voter(pace, memory, now) if number in pace.voters else None
+        # Digest of the policy from the local file: version 0, unless some voter knows of a later decision.
+        self.file_digest = self.documents.put(document)
+        self.voter = Voter(pace, stored_state, now) if number in pace.voters else None
         self.holder = Holder(pace)
-        self.last_decision = memory or VoterState()  # the last decision known here
-        self.has_decision = memory is not None  # whether anything is known
+        self.last_decision = stored_state or VoterState()  # latest known decision; valid only with has_decision
+        self.has_decision = stored_state is not None
         self.history = History()
         self.serving: tuple[int, bytes, bytes | None] | None = None
         self.lease_kind = FULL
         self.ballot: Ballot | None = None
-        self.may_vote = True  # the shell says otherwise while votes could not be kept
-        self.persisted: VoterState | None = memory
-        self.not_serving_reason = ""  # why nothing is served, for operators
+        self.may_vote = True  # cleared by the caller while it cannot persist votes
+        self.persisted: VoterState | None = stored_state
+        self.not_serving_reason = ""  # shown to operators
         self.outbox = Outbox(number, pace, now)
         self.checks = Checks(check, self.documents)
-        self.transfer = Transfer(life, pace, self.documents, self.outbox, self.random)
+        self.transfer = Transfer(incarnation, pace, self.documents, self.outbox, self.random)
         self.decisions = Decisions(self)
         self.recovery = Recovery(self)
         self.leases = Leases(self, now)
         self.proposals = Proposals(self)
         self.voting = Voting(self)
         self.changes = self.proposals.changes
-        if memory is not None:
-            self.history.add(memory.version, memory.digest)
+        if stored_state is not None:
+            self.history.add(stored_state.version, stored_state.digest)
 
-    def take_over(self, now: float, memory: VoterState | None, documents: tuple[bytes, ...]) -> None:
-        """Vote from now on in place of an earlier process of this member, which votes and grants no more.
+    def take_over(self, now: float, stored_state: VoterState | None, documents: tuple[bytes, ...]) -> None:
+        """Start voting in place of an earlier process of this member, which no longer votes or grants leases.
 
-        What that one granted may hold for as long as after any start; what it has kept is all that it has voted.
+        Leases that it granted may still run, so the fence starts again. The state that it persisted includes all of
+        its votes.
         """
         self.may_vote = True
         if self.voter is None:
             return
         self.voter.fence_until, self.recovery.query = now + self.pace.fence_ms, None
-        if memory is not None:
+        if stored_state is not None:
             for content in documents:
                 self.documents.put(content)
-            self.recovery.remembers(now, memory, {})
+            self.recovery.remembers(now, stored_state, {})
 
-    # What the shell asks before every decision
+    # Called before each admission decision
 
     def can_admit(self, now: float) -> bool:
-        """Tell whether a request may be admitted now, under what is served."""
+        """Return whether a request may be admitted now under the served version."""
         return self.serving is not None and now < self.holder.until[self.lease_kind]
 
-    # Turns
+    # Events
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Take in one event; the time never goes back."""
+        """Process one event and return the actions, in order; ``now`` must never decrease."""
         self.outbox.begin_turn(now)
         if isinstance(event, Heard):
             self.on_message(now, event.sender, event.content)
@@ -143,7 +147,7 @@
         elif isinstance(event, SettleSlot):
             self.proposals.settle(now)
         elif isinstance(event, DeclareVotersLost):
-            self.recovery.begin_at = now + self.pace.fence_ms  # who is there has answered by then
+            self.recovery.begin_at = now + self.pace.fence_ms  # live voters have answered by then
         elif isinstance(event, Quiet):
             self.outbox.quiet, self.ballot = True, None
         if not self.outbox.quiet:
@@ -160,21 +164,21 @@
         return self.outbox.actions
 
     def persist(self) -> None:
-        """Have the voter's memory written down before anything that follows is said."""
+        """Request that the state be persisted before any later message of this turn is sent, if it has changed."""
         if self.voter is not None and not self.voter.has_state:
-            return  # written down it would pass for all there is to be remembered
-        memory = self.voter.state if self.voter is not None else self.last_decision
-        if memory != self.persisted and self.has_decision:
-            self.persisted = memory
+            return  # a later process would take the incomplete state for everything that this voter has voted
+        state = self.voter.state if self.voter is not None else self.last_decision
+        if state != self.persisted and self.has_decision:
+            self.persisted = state
             held = self.documents.held
             self.outbox.actions.append(
-                PersistState(memory, tuple(held[name] for name in (memory.digest, memory.value) if name in held))
+                PersistState(state, tuple(held[digest] for digest in (state.digest, state.value) if digest in held))
             )
 
-    # Hearing
+    # Messages
 
     def on_message(self, now: float, sender: int, content: bytes) -> None:
-        """Take in a message."""
+        """Decode a message and dispatch it; drop it if it is invalid or answers another incarnation."""
         message = words.decode(content, self.pace.members, len(self.pace.voters))
         if isinstance(message, str):
             self.outbox.actions.append(Dropped(message))
@@ -184,7 +188,7 @@
             self.dispatch(now, sender, message)
 
     def dispatch(self, now: float, sender: int, message: words.AnyWord) -> None:
-        """Give a message to the part that it is for."""
+        """Pass a message to the component that handles its type."""
         match message:
             case words.Ask():
                 self.leases.on_ask(now, sender, message)
@@ -218,15 +222,15 @@
                 self.on_piece(message)
 
     def on_piece(self, message: words.Piece) -> None:
-        """Take a piece of a document in."""
+        """Add a piece of a document; store the document once it is complete."""
         content = self.documents.piece(message.digest, message.index, message.size, message.data)
         if content is not None:
             self.store_document(content)
 
-    # Learning
+    # Decisions
 
     def learn(self, now: float, version: int, digest: bytes, source: int) -> None:
-        """Take a version for decided; what is served under an earlier one ends in this turn."""
+        """Record that a version is decided; an earlier version stops being served in this turn."""
         if not digest or (self.has_decision and version <= self.last_decision.version):
             return
         self.has_decision = True
@@ -234,21 +238,22 @@
         self.history.add(version, digest)
         if self.voter is not None and self.voter.has_state:
             self.voter.learn(version, digest)
-        self.holder.begin()  # with no lease nothing is let in, whatever was served
+        self.holder.begin()  # without a lease nothing is admitted, whatever version was served
         self.leases.next_ask = now
-        self.decisions.pushed = -math.inf if source == self.number else now  # others tell what who decided it could not
+        # The gateway that decided announces at once; others repeat it later, for members that it could not reach.
+        self.decisions.pushed = -math.inf if source == self.number else now
         self.transfer.seek(digest, source)
         if self.ballot is not None and self.ballot.slot <= version:
             self.ballot = None
-        self.voting.seen_ballot = 0
+        self.voting.highest_ballot_seen = 0
         self.persist()
         self.outbox.actions.append(Notice(f"version {version} {digest.hex()[:8]} is decided"))
 
     def record_promise(self, now: float, ballot: Ballot, voter: int, accepted: int, digest: bytes) -> None:
-        """Go on to the vote once a majority has promised."""
-        before = ballot.value
+        """Record a promise; once a majority has promised, start the accept phase."""
+        value_before = ballot.value
         ballot.promised(voter, accepted, digest, self.pace)
-        if ballot.value and not before:
+        if ballot.value and not value_before:
             ballot.asked = -math.inf
             if ballot.value not in self.documents.held:
                 self.documents.seek(ballot.value, voter)
@@ -257,29 +262,29 @@
                     change.voted_on = True
 
     def record_vote(self, now: float, ballot: Ballot, voter: int) -> None:
-        """Decide with a majority."""
+        """Record a vote; once a majority has voted, the value is decided."""
         if ballot.voted(voter, self.pace):
             self.documents.seek(ballot.value, next(iter(sorted(ballot.votes - {self.number})), voter))
             self.learn(now, ballot.slot, ballot.value, self.number)
 
     def store_document(self, content: bytes) -> bytes:
-        """Hold a document; those of the last versions and of open changes stay."""
-        wanted = {digest for _, digest in self.history.latest(4)} | {self.file_digest, self.last_decision.digest}
-        wanted |= {change.digest for change in self.changes if not change.over}
+        """Store a document; those of the latest versions and of open changes are not evicted."""
+        retained = {digest for _, digest in self.history.latest(4)} | {self.file_digest, self.last_decision.digest}
+        retained |= {change.digest for change in self.changes if not change.over}
         if self.voter is not None:
-            wanted.add(self.voter.state.value)
-        digest = self.documents.put(content, frozenset(wanted))
+            retained.add(self.voter.state.value)
+        digest = self.documents.put(content, frozenset(retained))
         if self.voter is not None and self.voter.state.value == digest:
-            self.persisted = None  # what was voted on can be written down now
+            self.persisted = None  # the document voted on can be persisted now
             self.persist()
         return digest
 
-    # Telling
+    # Status
 
     def members_behind(self, now: float) -> list[int]:
-        """Give the members that are not known to have the decided version, as far as this gateway hears."""
+        """Return the members not known to have the decided version, judging by what this gateway has received."""
         return self.leases.owed(now)
 
     def view(self, now: float) -> dict[str, Any]:
-        """Give all of it as JSON's values."""
+        """Return the state as JSON-compatible values."""
         return view(self, now)
--- a/petrelhall/accord/events.py
+++ b/petrelhall/accord/events.py
@@ -1,4 +1,4 @@
-"""What the core of agreement is told, and what it answers: events and actions as values."""
+"""Input events and output actions of the consensus core."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """An operator wants a document in place of version ``base``."""
+    """An operator proposes a document to replace version ``base``."""
 
     content: bytes
     base: int
@@ -20,19 +20,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Abort:
-    """An operator takes back what has not been voted on."""
+    """An operator withdraws a proposed document, which is possible until it has been voted on."""
 
     digest: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class SettleSlot:
-    """An operator wants the next slot closed, so that what may be in it has a known end."""
+    """An operator wants the next slot decided, so that the outcome of any change pending in it becomes known."""
 
 
 @dataclass(frozen=True, slots=True)
 class DeclareVotersLost:
-    """An operator states that all voters not heard here are gone, and come back empty if they come back."""
+    """An operator states that all unreachable voters are lost for good, and would return without stored state."""
 
 
 Event = Tick | Heard | Propose | Abort | SettleSlot | DeclareVotersLost | Quiet
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PersistState:
-    """Write this down, safely, before any of the actions that follow: a voter's memory, and the documents it names."""
+    """Persist a voter's state and the documents it refers to, durably and before any later action is carried out."""
 
     state: VoterState
     documents: tuple[bytes, ...]
@@ -51,7 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Serve:
-    """What is served from now on, while the lease holds: a document, or the stricter of two in each field."""
+    """Serve a version from now on, while the lease holds.
+
+    With ``previous``, the document of the version before, the stricter of the two applies in each field.
+    """
 
     version: int
     document: bytes
@@ -60,7 +63,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Notice:
-    """Something that operators want to know."""
+    """A text for the operators' log."""
 
     text: str
 
--- a/petrelhall/accord/voting.py
+++ b/petrelhall/accord/voting.py
@@ -1,4 +1,4 @@
-"""Ballots on the next version (single-decree Paxos): promises and votes asked for, given and counted."""
+"""Ballots on the next version (single-decree Paxos), for proposers and voters: requests, promises and votes."""
 
 from __future__ import annotations
 
@@ -10,88 +10,93 @@
 if TYPE_CHECKING:
     from petrelhall.accord.core import ConsensusCore
 
-TOOK_MS = 400.0  # after which others finish what was voted on and not decided, each a little later than the last
+# Base delay before other voters finish a ballot that was voted on but not decided; each voter waits a little longer than
+# the one before it, so that they do not compete.
+TAKEOVER_DELAY_MS = 400.0
 
 
 class Voting:
-    """A member's part in ballots: as a voter, and as whoever began one."""
+    """A member's part in ballots, as a proposer and as a voter."""
 
     def __init__(self, core: ConsensusCore) -> None:
         self.core = core
-        self.seen_ballot = 0
+        self.highest_ballot_seen = 0
 
     def advance(self, now: float) -> None:
-        """Go on with the open ballot, or begin one for a change of this gateway's or votes that nobody finished."""
+        """Continue the open ballot, or begin one for a change proposed here or for an unfinished vote."""
         core = self.core
         ballot = core.ballot
         if ballot is not None and not ballot.open(now, core.pace):
             ballot = core.ballot = None
         if ballot is None:
-            own = core.proposals.deciding()
-            if own is not None or self.unfinished(now):
-                ballot = core.ballot = self.begin(now, own or core.last_decision.digest)
+            own_digest = core.proposals.deciding()
+            if own_digest is not None or self.has_unfinished_vote(now):
+                ballot = core.ballot = self.begin_ballot(now, own_digest or core.last_decision.digest)
         if ballot is not None and now - ballot.asked >= core.pace.retry_ms:
-            self.canvass(now, ballot)
+            self.send_requests(now, ballot)
 
-    def unfinished(self, now: float) -> bool:
-        """Tell whether this voter has voted on what is not decided, and nobody seems to go on with it."""
+    def has_unfinished_vote(self, now: float) -> bool:
+        """Return whether this voter voted for an undecided value whose proposer seems to have stopped."""
         core = self.core
         voter = core.voter
         if voter is None or not voter.has_state or not voter.state.accepted:
             return False
-        place = sorted(core.pace.voters).index(core.number)
-        return now - voter.accepted_at >= TOOK_MS + 2.0 * place * core.pace.retry_ms + core.pace.ballot_ms / 2.0
-
-    def begin(self, now: float, own: bytes) -> Ballot:
-        """Begin a ballot, later than any that was heard of."""
+        position = sorted(core.pace.voters).index(core.number)
+        return (
+            now - voter.accepted_at
+            >= TAKEOVER_DELAY_MS + 2.0 * position * core.pace.retry_ms + core.pace.ballot_ms / 2.0
+        )
+
+    def begin_ballot(self, now: float, own_digest: bytes) -> Ballot:
+        """Begin a ballot with a number higher than any seen."""
         core = self.core
         promised = core.voter.state.promised if core.voter is not None else 0
-        self.seen_ballot = ballot_number(max(self.seen_ballot, promised), core.number, core.incarnation)
-        return Ballot(core.last_decision.version + 1, self.seen_ballot, now, own)
+        self.highest_ballot_seen = ballot_number(max(self.highest_ballot_seen, promised), core.number, core.incarnation)
+        return Ballot(core.last_decision.version + 1, self.highest_ballot_seen, now, own_digest)
 
-    def canvass(self, now: float, ballot: Ballot) -> None:
-        """Ask the voters that have not answered, oneself among them."""
+    def send_requests(self, now: float, ballot: Ballot) -> None:
+        """Send prepare or accept requests to the voters that have not answered; the local voter answers directly."""
         core = self.core
         ballot.asked = now
-        voter, before = core.voter, core.last_decision.digest
+        voter, previous_digest = core.voter, core.last_decision.digest
         if voter is not None and voter.has_state and not ballot.value and core.number not in ballot.promises:
             if voter.promise(ballot.number):
                 core.persist()
                 core.record_promise(now, ballot, core.number, voter.state.accepted, voter.state.value)
         if not ballot.value:
             for number in core.pace.voters - set(ballot.promises):
-                core.outbox.send(number, words.Prepare(core.incarnation, ballot.slot, ballot.number, before))
+                core.outbox.send(number, words.Prepare(core.incarnation, ballot.slot, ballot.number, previous_digest))
             return
         if voter is not None and voter.has_state and core.number not in ballot.votes:
             if voter.accept(now, ballot.number, ballot.value):
                 core.persist()
                 core.record_vote(now, ballot, core.number)
         for number in core.pace.voters - ballot.votes:
-            if core.ballot is ballot:  # else decided by our own vote
+            if core.ballot is ballot:  # otherwise the local vote has just decided it
                 core.outbox.send(
-                    number, words.Accept(core.incarnation, ballot.slot, ballot.number, ballot.value, before)
+                    number, words.Accept(core.incarnation, ballot.slot, ballot.number, ballot.value, previous_digest)
                 )
 
-    def voting(self, now: float, sender: int, slot: int, before: bytes) -> bool:
-        """Tell whether this gateway votes on a slot now."""
+    def can_vote(self, now: float, sender: int, slot: int, previous_digest: bytes) -> bool:
+        """Return whether this gateway may vote on a slot now, after learning what the request implies."""
         core = self.core
-        later = core.decisions.behind(now, sender, slot, before)
-        return not later and core.voter is not None and core.voter.has_state
+        other_slot = core.decisions.behind(now, sender, slot, previous_digest)
+        return not other_slot and core.voter is not None and core.voter.has_state
 
     def on_prepare(self, now: float, sender: int, message: words.Prepare) -> None:
-        """Promise, or tell of a later ballot."""
+        """Answer a prepare request: promise, or reject it with the number of the higher ballot promised."""
         core = self.core
-        if not self.voting(now, sender, message.slot, message.before):
+        if not self.can_vote(now, sender, message.slot, message.before):
             return
         assert core.voter is not None
-        self.seen_ballot = max(self.seen_ballot, message.ballot)
+        self.highest_ballot_seen = max(self.highest_ballot_seen, message.ballot)
         if core.voter.promise(message.ballot):
             core.persist()
-            memory = core.voter.state
+            state = core.voter.state
             core.outbox.send(
                 sender,
                 words.Promise(
-                    core.incarnation, message.life, message.slot, message.ballot, memory.accepted, memory.value
+                    core.incarnation, message.life, message.slot, message.ballot, state.accepted, state.value
                 ),
             )
         else:
@@ -100,12 +105,12 @@
             )
 
     def on_accept(self, now: float, sender: int, message: words.Accept) -> None:
-        """Vote, or tell of a later ballot."""
+        """Answer an accept request: vote, or reject it with the number of the higher ballot promised."""
         core = self.core
-        if not self.voting(now, sender, message.slot, message.before):
+        if not self.can_vote(now, sender, message.slot, message.before):
             return
         assert core.voter is not None
-        self.seen_ballot = max(self.seen_ballot, message.ballot)
+        self.highest_ballot_seen = max(self.highest_ballot_seen, message.ballot)
         core.transfer.seek(message.digest, sender)
         if core.voter.accept(now, message.ballot, message.digest):
             core.persist()
@@ -116,7 +121,7 @@
             )
 
     def on_promise(self, now: float, sender: int, message: words.Promise) -> None:
-        """Count a promise."""
+        """Count a promise for the open ballot."""
         core = self.core
         ballot = core.ballot
         if (
@@ -128,7 +133,7 @@
             core.record_promise(now, ballot, sender, message.accepted, message.digest)
 
     def on_accepted(self, now: float, sender: int, message: words.Accepted) -> None:
-        """Count a vote."""
+        """Count a vote in the open ballot."""
         core = self.core
         ballot = core.ballot
         if (
@@ -140,9 +145,9 @@
             core.record_vote(now, ballot, sender)
 
     def on_nack(self, now: float, sender: int, message: words.Nack) -> None:
-        """Hear of a later ballot: ours is over, and the next waits its turn."""
+        """Handle a rejection: end the local ballot and begin the next after a random delay."""
         core = self.core
-        self.seen_ballot = max(self.seen_ballot, message.ballot)
+        self.highest_ballot_seen = max(self.highest_ballot_seen, message.ballot)
         ballot = core.ballot
         if ballot is not None and ballot.slot == message.slot and ballot.number < message.ballot:
             ballot.began = min(
