--- a/petrelhall/accord/decisions.py
+++ b/petrelhall/accord/decisions.py
@@ -8,13 +8,13 @@
 from petrelhall.accord import words
 
 if TYPE_CHECKING:
-    from petrelhall.accord.core import Accord
+    from petrelhall.accord.core import ConsensusCore
 
 
 class Decisions:
     """Announces decisions until no member is known to serve an earlier version."""
 
-    def __init__(self, core: Accord) -> None:
+    def __init__(self, core: ConsensusCore) -> None:
         self.core = core
         self.announced_at = -math.inf  # when the latest decision was last announced
 
@@ -28,12 +28,12 @@
             core.history.add_earlier(version, digest)
         if (
             len(core.history) > count_before
-            and (missing := core.history.latest_missing(core.known.version)) is not None
+            and (missing := core.history.latest_missing(core.last_decision.version)) is not None
         ):
-            core.outbox.send(sender, words.Older(core.life, missing))
+            core.outbox.send(sender, words.Older(core.incarnation, missing))
         if (
-            core.certain
-            and message.history[:1] == ((core.known.version, core.known.digest),)
+            core.has_decision
+            and message.history[:1] == ((core.last_decision.version, core.last_decision.digest),)
             and sender in core.pace.voters
             and now - core.leases.requested_at.get(sender, -math.inf) >= core.pace.retry_ms / 2.0
         ):
@@ -45,7 +45,7 @@
         core = self.core
         found = [entry for entry in core.history if entry[0] <= message.version]
         if found:
-            core.outbox.send(sender, words.Decided(core.life, tuple(found[: words.HISTORY])))
+            core.outbox.send(sender, words.Decided(core.incarnation, tuple(found[: words.HISTORY])))
 
     def not_next_slot(self, now: float, sender: int, slot: int, before: bytes) -> bool:
         """Learn the decision that a message on a slot implies; return True unless the slot is the next to decide.
@@ -54,19 +54,19 @@
         """
         core = self.core
         core.learn(now, slot - 1, before, sender)
-        if core.certain and slot <= core.known.version:
-            core.outbox.send(sender, words.Decided(core.life, core.history.latest(words.HISTORY)))
+        if core.has_decision and slot <= core.last_decision.version:
+            core.outbox.send(sender, words.Decided(core.incarnation, core.history.latest(words.HISTORY)))
             return True
-        return not core.certain or slot != core.known.version + 1
+        return not core.has_decision or slot != core.last_decision.version + 1
 
     def announce(self, now: float) -> None:
         """Announce the latest decision to the members that may still serve an earlier version."""
         core = self.core
-        if core.certain and core.known.version and now - self.announced_at >= core.pace.retry_ms:
-            outdated = core.voter.earlier(now) if core.voter is not None else set()
+        if core.has_decision and core.last_decision.version and now - self.announced_at >= core.pace.retry_ms:
+            outdated = core.voter.members_on_earlier_version(now) if core.voter is not None else set()
             if self.announced_at == -math.inf:  # the proposer of the decision announces it to all members once
                 outdated = set(range(core.pace.members))
             self.announced_at = now
-            message = words.Decided(core.life, core.history.latest(words.HISTORY))
+            message = words.Decided(core.incarnation, core.history.latest(words.HISTORY))
             for number in core.random.sample(sorted(outdated), len(outdated)):
                 core.outbox.send(number, message, float(len(core.pace.voters)))
--- a/petrelhall/accord/events.py
+++ b/petrelhall/accord/events.py
@@ -1,10 +1,10 @@
-"""What the core of agreement is told, and what it answers: events and actions as values."""
+"""Input events and output actions of the consensus core."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from petrelhall.accord.votes import Memory
+from petrelhall.accord.votes import VoterState
 from petrelhall.events import Dropped, MessageReceived, Send, Superseded, Tick
 
 # Events
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """An operator wants a document in place of version ``base``."""
+    """An operator proposes a document to replace version ``base``."""
 
     content: bytes
     base: int
@@ -20,49 +20,52 @@
 
 @dataclass(frozen=True, slots=True)
 class Abort:
-    """An operator takes back what has not been voted on."""
+    """An operator withdraws a proposed document, which is possible until it has been voted on."""
 
     digest: bytes
 
 
 @dataclass(frozen=True, slots=True)
-class Settle:
-    """An operator wants the next slot closed, so that what may be in it has a known end."""
+class SettleSlot:
+    """An operator wants the next slot decided, so that the outcome of any change pending in it becomes known."""
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
-    """An operator states that all voters not heard here are gone, and come back empty if they come back."""
+class DeclareVotersLost:
+    """An operator states that all unreachable voters are lost for good, and would return without stored state."""
 
 
-Event = Tick | MessageReceived | Propose | Abort | Settle | Begin | Superseded
+Event = Tick | MessageReceived | Propose | Abort | SettleSlot | DeclareVotersLost | Superseded
 
 
 # Actions
 
 
 @dataclass(frozen=True, slots=True)
-class Keep:
-    """Write this down, safely, before any of the actions that follow: a voter's memory, and the documents it names."""
+class PersistState:
+    """Persist a voter's state and the documents it refers to, durably and before any later action is carried out."""
 
-    memory: Memory
+    state: VoterState
     documents: tuple[bytes, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Serve:
-    """What is served from now on, while the lease holds: a document, or the stricter of two in each field."""
+    """Serve a version from now on, while the lease holds.
+
+    With ``previous``, the document of the version before, the stricter of the two applies in each field.
+    """
 
     version: int
     document: bytes
-    before: bytes | None
+    previous: bytes | None
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """Something that operators want to know."""
+class Notice:
+    """A text for the operators' log."""
 
-    what: str
+    text: str
 
 
-Action = Send[int] | Keep | Serve | Told | Dropped
+Action = Send[int] | PersistState | Serve | Notice | Dropped
--- a/petrelhall/accord/leases.py
+++ b/petrelhall/accord/leases.py
@@ -10,13 +10,13 @@
 from petrelhall.events import Dropped
 
 if TYPE_CHECKING:
-    from petrelhall.accord.core import Accord
+    from petrelhall.accord.core import ConsensusCore
 
 
 class Leases:
     """A member's own lease, and the leases that it grants if it is a voter."""
 
-    def __init__(self, core: Accord, now: float) -> None:
+    def __init__(self, core: ConsensusCore, now: float) -> None:
         self.core = core
         self.next_request_at = now
         self.requested_at: dict[int, float] = {}  # by voter: when a lease was last requested from it
@@ -26,32 +26,34 @@
     def renew(self, now: float) -> None:
         """Request a lease on the decided version when the next request is due."""
         core = self.core
-        if core.certain and now >= self.next_request_at:
+        if core.has_decision and now >= self.next_request_at:
             self.request(now, core.pace.voters)
-            missing = core.history.latest_missing(core.known.version)
+            missing = core.history.latest_missing(core.last_decision.version)
             if missing is not None:
-                core.outbox.send(core.random.choice(sorted(core.pace.voters)), words.Older(core.life, missing))
+                core.outbox.send(core.random.choice(sorted(core.pace.voters)), words.Older(core.incarnation, missing))
             holds_lease = core.holder.expires_at[FULL] > now
             self.next_request_at = now + (core.pace.ask_ms if holds_lease else core.pace.again_ms)
 
     def request(self, now: float, voters: frozenset[int]) -> None:
         """Request a lease if the decided document is held and can be served; else only give back earlier leases."""
         core = self.core
-        digest = core.known.digest
+        digest = core.last_decision.digest
         held = digest in core.documents.held
         reason = core.checks.reason(digest) if held else ""
         if held:
-            core.trouble = f"version {core.known.version} cannot be served here: {reason}" if reason else ""
+            core.not_serving_reason = (
+                f"version {core.last_decision.version} cannot be served here: {reason}" if reason else ""
+            )
         ask = words.Ask(
-            core.life,
+            core.incarnation,
             core.holder.new_request(now),
-            core.known.version,
+            core.last_decision.version,
             digest,
             int(core.pace.life_ms),
             held and not reason,
             self.servable_previous() is not None,
         )
-        self.reported_versions[core.number] = core.known.version, now
+        self.reported_versions[core.number] = core.last_decision.version, now
         for number in sorted(voters):
             self.requested_at[number] = now
             core.outbox.send(number, ask)
@@ -64,7 +66,7 @@
     def servable_previous(self) -> bytes | None:
         """Return the digest of the version before the decided one, if its document is held and can be served."""
         core = self.core
-        digest = core.history.digest(core.known.version - 1)
+        digest = core.history.digest(core.last_decision.version - 1)
         return digest if digest in core.documents.held and not core.checks.reason(digest) else None
 
     def on_ask(self, now: float, sender: int, message: words.Ask) -> None:
@@ -75,7 +77,7 @@
         if core.voter is None:
             return
         kind = core.voter.grant(now, sender, message)
-        if kind != NONE or sender not in core.voter.waiting:  # a waiting request is answered by grant_waiting
+        if kind != NONE or sender not in core.voter.waiting_requests:  # a waiting request is answered by grant_waiting
             self.answer(now, sender, message, kind)
         self.grant_waiting(now)
 
@@ -85,18 +87,18 @@
         assert core.voter is not None
         if to == core.number:
             core.holder.add_grant(to, ask.nonce, kind, float(ask.ms))
-        elif core.certain:
+        elif core.has_decision:
             core.outbox.send(
                 to,
                 words.Grant(
-                    core.life,
+                    core.incarnation,
                     ask.life,
                     ask.nonce,
                     kind,
                     ask.ms,
-                    core.known.version,
-                    core.known.digest,
-                    words.bitmap(core.voter.holders(now)),
+                    core.last_decision.version,
+                    core.last_decision.digest,
+                    words.bitmap(core.voter.lease_holders(now)),
                 ),
             )
 
@@ -104,35 +106,37 @@
         """Answer the waiting requests once no lease on an earlier version granted by this voter is outstanding."""
         core = self.core
         assert core.voter is not None
-        for member, ask in core.voter.cleared(now):
+        for member, ask in core.voter.take_ready_requests(now):
             self.answer(now, member, ask, core.voter.grant(now, member, ask))
 
     def on_grant(self, now: float, sender: int, message: words.Grant) -> None:
         """Record a grant, or learn that another version has been decided."""
         core = self.core
         core.learn(now, message.version, message.digest, sender)
-        if message.version == core.known.version and message.kind != NONE:
+        if message.version == core.last_decision.version and message.kind != NONE:
             if not core.holder.add_grant(sender, message.nonce, message.kind, float(message.ms)):
                 core.outbox.actions.append(Dropped("late"))
 
     def serve(self, now: float) -> None:
         """Start serving the leased version, and update the changes that it completes."""
         core = self.core
-        digest = core.known.digest
-        if not core.certain or digest not in core.documents.held:
+        digest = core.last_decision.digest
+        if not core.has_decision or digest not in core.documents.held:
             return
         full = core.holder.expires_at[FULL] > now
         previous = None if full else self.servable_previous()
         if not full and (previous is None or core.holder.expires_at[EITHER] <= now):
             return
-        core.kind = FULL if full else EITHER
-        wanted = core.known.version, digest, previous
+        core.lease_kind = FULL if full else EITHER
+        wanted = core.last_decision.version, digest, previous
         if wanted != core.serving:
             core.serving = wanted
             held = core.documents.held
-            core.outbox.actions.append(Serve(core.known.version, held[digest], held[previous] if previous else None))
+            core.outbox.actions.append(
+                Serve(core.last_decision.version, held[digest], held[previous] if previous else None)
+            )
             for change in core.changes:
-                if not change.finished and change.slot <= core.known.version:
+                if not change.finished and change.slot <= core.last_decision.version:
                     core.proposals.outcome(now, change)
 
     def members_behind(self, now: float) -> list[int]:
@@ -141,6 +145,6 @@
         return [
             number
             for number in range(core.pace.members)
-            if self.reported_versions.get(number, (-1, 0.0))[0] < core.known.version
+            if self.reported_versions.get(number, (-1, 0.0))[0] < core.last_decision.version
             or now - self.reported_versions[number][1] > 2.0 * core.pace.life_ms
         ]
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -25,21 +25,21 @@
 from petrelhall.accord.change import Ballot, ballot_number
 from petrelhall.accord.core import (
     Abort,
-    Accord,
-    Begin,
+    ConsensusCore,
+    DeclareVotersLost,
     Dropped,
-    Keep,
     MessageReceived,
+    PersistState,
     Propose,
     Send,
-    Settle,
+    SettleSlot,
     Superseded,
     Tick,
 )
 from petrelhall.accord.documents import DATA, KEPT, MOST_BYTES, Documents, digest_of
 from petrelhall.accord.lease import LeaseHolder
 from petrelhall.accord.plan import MARGIN, RHO, Pace, pace, voters_of
-from petrelhall.accord.votes import Memory, Voter, best
+from petrelhall.accord.votes import Voter, VoterState, merge_states
 from petrelhall.accord.words import EITHER, FULL, NONE, STEPS, Ask
 from petrelhall.cli.main import main
 from petrelhall.control.calls import Call, Policy, read_call
@@ -89,8 +89,8 @@
         return Ask(incarnation, 1, version, digest, 1000, True, either)
 
     def make_voter(self, strictest: bool = False) -> Voter:
-        voter = Voter(dataclasses.replace(PACE, strictest=strictest), Memory(0, b"d0"), -1e6)
-        voter.fence = 0.0
+        voter = Voter(dataclasses.replace(PACE, strictest=strictest), VoterState(0, b"d0"), -1e6)
+        voter.fence_until = 0.0
         return voter
 
     def test_voter_grants_a_version_only_after_all_leases_on_the_previous_one_expired_or_were_released(self) -> None:
@@ -99,8 +99,10 @@
         self.assertEqual(voter.grant(0.0, 0, self.make_ask(0, digest=b"d0")), FULL)
         voter.learn(1, b"d1")
         self.assertEqual(voter.grant(10.0, 0, self.make_ask()), NONE)  # member 2 may still serve version 0
-        self.assertEqual(voter.cleared(1000.0), [])  # the lease is timed by the holder's clock, which may run slow
-        self.assertEqual([member for member, _ in voter.cleared(1000.0 * MARGIN)], [0])
+        self.assertEqual(
+            voter.take_ready_requests(1000.0), []
+        )  # the lease is timed by the holder's clock, which may run slow
+        self.assertEqual([member for member, _ in voter.take_ready_requests(1000.0 * MARGIN)], [0])
         voter = self.make_voter()
         voter.grant(0.0, 2, self.make_ask(0, digest=b"d0"))
         voter.learn(1, b"d1")
@@ -118,10 +120,10 @@
         self.assertEqual(voter.grant(0.0, 0, self.make_ask(0, digest=b"d0")), NONE)
         self.assertFalse(voter.promise(4))
         voter.learn(1, b"y")  # another value was decided, so the voter moves on to the next slot
-        self.assertEqual((voter.memory.accepted, voter.memory.promised), (0, 0))
+        self.assertEqual((voter.state.accepted, voter.state.promised), (0, 0))
 
     def test_voter_without_memory_or_within_its_restart_fence_grants_nothing(self) -> None:
-        voter = Voter(PACE, Memory(1, b"d1"), 0.0)
+        voter = Voter(PACE, VoterState(1, b"d1"), 0.0)
         self.assertEqual(voter.grant(PACE.fence_ms - 1.0, 0, self.make_ask()), NONE)
         self.assertEqual(voter.grant(PACE.fence_ms, 0, self.make_ask()), FULL)
         self.assertGreaterEqual(PACE.fence_ms, MARGIN * PACE.life_ms)
@@ -174,7 +176,8 @@
         self.assertEqual(len(numbers), 8)
         self.assertGreater(ballot_number(ballot_number(0, 4, 9), 0, 1), ballot_number(0, 4, 9))
         self.assertEqual(
-            best([Memory(1, b"a", 9), Memory(2, b"b", 3, 2, b"x"), Memory(2, b"b", 7)]), Memory(2, b"b", 7, 2, b"x")
+            merge_states([VoterState(1, b"a", 9), VoterState(2, b"b", 3, 2, b"x"), VoterState(2, b"b", 7)]),
+            VoterState(2, b"b", 7, 2, b"x"),
         )
 
     def test_messages_fit_in_a_datagram_for_a_thousand_members_and_invalid_ones_are_classified(self) -> None:
@@ -225,9 +228,9 @@
         self.worlds: list[World] = []
 
     def new_world(self, timing: Pace = PACE, disk: bool = False, document: bytes = FILE) -> World:
-        world = settled(Accord, disk, timing, document)
+        world = settled(ConsensusCore, disk, timing, document)
         self.worlds.append(world)
-        self.assertTrue(all(core.allowed(world.clock(number)) for number, core in world.cores.items()))
+        self.assertTrue(all(core.can_admit(world.clock(number)) for number, core in world.cores.items()))
         return world
 
     def tearDown(self) -> None:
@@ -236,7 +239,7 @@
 
     def propose(self, world: World, number: int, content: bytes, base: int | None = None) -> None:
         core = world.cores[number]
-        event = Propose(content, core.known.version if base is None else base)
+        event = Propose(content, core.last_decision.version if base is None else base)
         world.carry(number, core.handle(world.clock(number), event), Turn("well"))
 
     def outcomes(self, world: World, number: int) -> list[str]:
@@ -245,7 +248,7 @@
     def served_versions(self, world: World) -> list[int]:
         """Return the version that each gateway may serve now, -1 for none."""
         return [
-            core.serving[0] if core.serving and core.allowed(world.clock(number)) else -1
+            core.serving[0] if core.serving and core.can_admit(world.clock(number)) else -1
             for number, core in sorted(world.cores.items())
         ]
 
@@ -256,7 +259,7 @@
         self.assertEqual((self.outcomes(world, 3), self.served_versions(world)), (["in force"], [1] * 5))
         self.propose(world, 3, b"one", base=0)  # proposing the same document again is idempotent
         self.assertEqual(self.outcomes(world, 3), ["in force"])
-        self.assertEqual(world.cores[3].owed(world.clock(3)), [])
+        self.assertEqual(world.cores[3].members_behind(world.clock(3)), [])
 
     def test_propose_answers_with_the_same_change_entry_as_the_view(self) -> None:
         for content, base, status in ((b"one", 0, 200), (b"bad", 0, 409), (b"two", 1, 409)):
@@ -293,7 +296,7 @@
         self.propose(world, 0, b"one", base=4)
         self.propose(world, 0, bytes(MOST_BYTES + 1))
         self.assertEqual(self.outcomes(world, 0), ["nowhere", "nowhere"])
-        unrecovered = Accord(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
+        unrecovered = ConsensusCore(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
         unrecovered.handle(0.0, Propose(b"x", 0))
         self.assertEqual(unrecovered.changes[0].state, "nowhere")
 
@@ -307,14 +310,14 @@
         self.assertEqual(self.served_versions(world)[:2], [1, 1])
         change = world.cores[0].changes[0]
         self.assertLess(change.ended_at - change.started_at, MARGIN * FIVE_MEMBERS.life_ms + 1000.0)
-        self.assertIn(2, world.cores[0].owed(world.clock(0)))
+        self.assertIn(2, world.cores[0].members_behind(world.clock(0)))
         world.now += 3_600_000.0  # it stays down for an hour
         world.start(2)
-        self.assertFalse(world.cores[2].allowed(world.clock(2)))
+        self.assertFalse(world.cores[2].can_admit(world.clock(2)))
         for _ in range(5):
             world.take(NO_FAULTS)
         self.assertEqual(self.served_versions(world), [1] * 5)
-        self.assertEqual(world.cores[0].owed(world.clock(0)), [])
+        self.assertEqual(world.cores[0].members_behind(world.clock(0)), [])
 
     def test_gateway_that_rejects_a_version_decided_without_it_does_not_serve_and_reports_the_reason(self) -> None:
         world = self.new_world(FIVE_MEMBERS)
@@ -413,15 +416,15 @@
         for _ in range(5):
             world.take(NO_FAULTS)
         self.assertEqual(self.served_versions(world), [-1] * 5)
-        self.assertIn("2 voters that remember", world.cores[4].trouble)
+        self.assertIn("2 voters that remember", world.cores[4].not_serving_reason)
         for number in (2, 3, 4):
-            world.cores[number].handle(world.clock(number), Begin())
+            world.cores[number].handle(world.clock(number), DeclareVotersLost())
         for _ in range(5):
             world.take(NO_FAULTS)
         self.assertEqual(self.served_versions(world), [1] * 5)
 
     def test_different_operator_files_at_first_start_block_service_and_are_reported(self) -> None:
-        world = World(Accord, disk := False, PACE)
+        world = World(ConsensusCore, disk := False, PACE)
         self.assertFalse(disk)
         for number in range(3):
             world.document = b"another" if number == 1 else FILE
@@ -429,7 +432,7 @@
         for _ in range(5):
             world.take(NO_FAULTS)
         self.assertEqual(self.served_versions(world), [-1] * 3)
-        self.assertIn("differs from that of [1]", world.cores[0].trouble)
+        self.assertIn("differs from that of [1]", world.cores[0].not_serving_reason)
 
     def test_rollback_while_a_paused_gateway_lacks_the_change_acts_as_an_ordinary_change(self) -> None:
         world = self.new_world(FIVE_MEMBERS)
@@ -446,7 +449,7 @@
         for _ in range(4):
             world.take(NO_FAULTS)
         self.assertEqual(self.served_versions(world), [3] * 5)
-        self.assertEqual({core.known.digest for core in world.cores.values()}, {digest_of(b"one")})
+        self.assertEqual({core.last_decision.digest for core in world.cores.values()}, {digest_of(b"one")})
 
     def test_large_document_takes_effect_despite_twenty_percent_message_loss(self) -> None:
         world = self.new_world()
@@ -471,11 +474,11 @@
         world.take(NO_FAULTS)
         self.propose(world, 0, b"two")
         world.take(NO_FAULTS)
-        before = [core.known for core in world.cores.values()]
+        before = [core.last_decision for core in world.cores.values()]
         for receiver, sender, content in sent_messages:
             for replayed in (content, content[:9] + b"\xff" + content[10:]):
                 world.cores[receiver].handle(world.clock(receiver), MessageReceived(sender, replayed))
-        self.assertEqual([core.known for core in world.cores.values()], before)
+        self.assertEqual([core.last_decision for core in world.cores.values()], before)
         world.give = deliver  # type: ignore[method-assign]
         for _ in range(3):
             world.take(NO_FAULTS)
@@ -485,16 +488,16 @@
         world = self.new_world()
         core = world.cores[0]
         now = world.clock(0)
-        grant = words.Grant(9, core.life + 1, core.holder.nonce, FULL, 1000, 0, core.known.digest, b"")
+        grant = words.Grant(9, core.incarnation + 1, core.holder.nonce, FULL, 1000, 0, core.last_decision.digest, b"")
         actions = core.handle(now, MessageReceived(1, words.encode(grant, 3, 3)))
         self.assertIn(Dropped("other_life"), actions)
         for lateness_ms, version in ((PACE.ballot_ms + 1.0, 0), (0.0, 1)):
             core.ballot = Ballot(1, 77, now - lateness_ms, b"x", value=b"x")
             for voter in (1, 2):  # votes queued while the process was paused
                 if core.ballot is not None:
-                    vote = words.encode(words.Accepted(9, core.life, 1, 77), 3, 3)
+                    vote = words.encode(words.Accepted(9, core.incarnation, 1, 77), 3, 3)
                     core.on_message(now, voter, vote)
-            self.assertEqual(core.known.version, version)
+            self.assertEqual(core.last_decision.version, version)
         self.worlds.remove(world)  # no gateway holds a document with this made-up digest
 
     def test_proposal_without_votes_can_be_aborted_and_its_slot_settled(self) -> None:
@@ -504,14 +507,14 @@
         core = world.cores[0]
         core.handle(world.clock(0), Abort(digest_of(b"one")))
         self.assertEqual(self.outcomes(world, 0), ["nowhere"])
-        core.handle(world.clock(0), Settle())
+        core.handle(world.clock(0), SettleSlot())
         world.take(Turn("well", steps=60))
-        self.assertEqual((core.known.version, core.known.digest), (1, digest_of(FILE)))
+        self.assertEqual((core.last_decision.version, core.last_decision.digest), (1, digest_of(FILE)))
         self.assertEqual(self.served_versions(world)[0], 1)
 
     def test_successor_in_an_upgrade_waits_for_earlier_grants_and_keeps_earlier_votes(self) -> None:
-        for memory in (None, Memory(3, digest_of(b"three"), 9, 9, b"voted on")):
-            core = Accord(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
+        for memory in (None, VoterState(3, digest_of(b"three"), 9, 9, b"voted on")):
+            core = ConsensusCore(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
             core.may_vote = False
             takeover_at = 5.0 * PACE.fence_ms
             core.handle(takeover_at, Tick())
@@ -519,19 +522,21 @@
             core.take_over(takeover_at, memory, (b"three",))
             assert core.voter is not None
             self.assertEqual(
-                (core.voter.fence, core.voter.remembers), (takeover_at + PACE.fence_ms, memory is not None)
+                (core.voter.fence_until, core.voter.has_state), (takeover_at + PACE.fence_ms, memory is not None)
             )
-            self.assertEqual(core.voter.memory, memory or Memory())
+            self.assertEqual(core.voter.state, memory or VoterState())
             core.handle(takeover_at + PACE.fence_ms - 1.0, Tick())
             self.assertEqual(core.recovery.query, None)  # nor while a ballot with a vote of the predecessor may be open
             core.handle(takeover_at + PACE.fence_ms + PACE.retry_ms, Tick())
             self.assertEqual(core.recovery.query is not None, memory is None)
 
     def test_voter_without_memory_persists_nothing_that_could_pass_for_one(self) -> None:
-        core = Accord(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
+        core = ConsensusCore(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
         decided = words.encode(words.Decided(9, ((4, digest_of(b"four")),)), 3, 3)
         actions = core.handle(1.0, MessageReceived(1, decided))
-        self.assertEqual((core.known.version, [action for action in actions if isinstance(action, Keep)]), (4, []))
+        self.assertEqual(
+            (core.last_decision.version, [action for action in actions if isinstance(action, PersistState)]), (4, [])
+        )
 
     def test_restarted_gateway_learns_the_outcomes_of_earlier_changes(self) -> None:
         world = self.new_world(FIVE_MEMBERS)
@@ -548,9 +553,9 @@
         world = self.new_world()
         core, now = world.cores[0], world.clock(0)
         self.assertEqual(core.handle(now, Superseded()), [])
-        self.assertTrue(core.allowed(now))
+        self.assertTrue(core.can_admit(now))
         self.assertEqual(core.handle(now + 500.0, Tick()), [])
-        self.assertFalse(core.allowed(now + PACE.life_ms))
+        self.assertFalse(core.can_admit(now + PACE.life_ms))
 
     def test_vote_is_persisted_before_it_is_sent(self) -> None:
         world = self.new_world(disk=True)
@@ -558,11 +563,11 @@
         for number, core in world.cores.items():
             handle = core.handle
 
-            def record_actions(now: float, event: Any, handle: Any = handle, core: Accord = core) -> Any:
+            def record_actions(now: float, event: Any, handle: Any = handle, core: ConsensusCore = core) -> Any:
                 actions = handle(now, event)
                 for action in actions:
-                    if isinstance(action, Keep):
-                        event_log.append(f"{core.number} kept {action.memory.accepted > 0}")
+                    if isinstance(action, PersistState):
+                        event_log.append(f"{core.number} kept {action.state.accepted > 0}")
                     elif isinstance(action, Send) and isinstance(words.decode(action.content, 3, 3), words.Accepted):
                         event_log.append(f"{core.number} voted")
                 return actions
@@ -613,34 +618,38 @@
         self.assertEqual(len(set(versions)), 1, versions)
         self.assertNotIn(-1, versions)
         if self.outcomes(world, 0) not in (["in force"], ["nowhere"]):  # lost with its process, or still unknown
-            world.cores[1].handle(world.clock(1), Settle())
+            world.cores[1].handle(world.clock(1), SettleSlot())
             world.take(NO_FAULTS)
         decided = dict(world.cores[1].history)
         self.assertIn(decided.get(1), (digest_of(b"one"), digest_of(FILE), None))
 
 
-class VotesAfterEmptyRestart(Accord):
+class VotesAfterEmptyRestart(ConsensusCore):
     """Defect: after a restart without memory it treats its file as the decided version and votes immediately."""
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
-        if self.voter is not None and self.life > 3:
-            self.voter.memory, self.voter.remembers, self.voter.fence = Memory(0, self.file), True, -math.inf
+        if self.voter is not None and self.incarnation > 3:
+            self.voter.state, self.voter.has_state, self.voter.fence_until = (
+                VoterState(0, self.file_digest),
+                True,
+                -math.inf,
+            )
 
 
-class SkipsRestartFence(Accord):
+class SkipsRestartFence(ConsensusCore):
     """Defect: recovers and grants right after a restart, though leases of its earlier incarnation may be valid."""
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
-        if self.voter is not None and self.life > 3:
-            self.voter.fence = -math.inf
+        if self.voter is not None and self.incarnation > 3:
+            self.voter.fence_until = -math.inf
 
 
-class IgnoresLeaseExpiry(Accord):
+class IgnoresLeaseExpiry(ConsensusCore):
     """Defect: keeps serving after its lease has expired."""
 
-    def allowed(self, now: float) -> bool:
+    def can_admit(self, now: float) -> bool:
         return self.serving is not None
 
 
@@ -652,35 +661,35 @@
         return super().grant(now, member, ask)
 
 
-class DoesNotWaitForEarlierLeases(Accord):
+class DoesNotWaitForEarlierLeases(ConsensusCore):
     """Defect: its voters do not wait for leases on earlier versions to end."""
 
     def __init__(self, *args: Any, **kwargs: Any) -> None:
         super().__init__(*args, **kwargs)
         if self.voter is not None:
             original, self.voter = self.voter, GrantsDespiteEarlierLeases(self.pace, None, 0.0)
-            self.voter.fence, self.voter.remembers, self.voter.memory = (
+            self.voter.fence_until, self.voter.has_state, self.voter.state = (
                 original.fence,
                 original.remembers,
                 original.memory,
             )
 
 
-class IgnoresAcceptedValues(Accord):
+class IgnoresAcceptedValues(ConsensusCore):
     """Defect: ignores values that other voters have already accepted."""
 
-    def promised(self, now: float, ballot: Ballot, voter: int, accepted: int, digest: bytes) -> None:
-        super().promised(now, ballot, voter, 0, digest)
+    def record_promise(self, now: float, ballot: Ballot, voter: int, accepted: int, digest: bytes) -> None:
+        super().record_promise(now, ballot, voter, 0, digest)
 
 
-class DecidesOnOneVote(Accord):
+class DecidesOnOneVote(ConsensusCore):
     """Defect: treats a single vote as a decision."""
 
-    def voted(self, now: float, ballot: Ballot, voter: int) -> None:
+    def record_vote(self, now: float, ballot: Ballot, voter: int) -> None:
         self.learn(now, ballot.slot, ballot.value, self.number)
 
 
-DEFECTIVE_CORES: dict[type[Accord], tuple[str, ...]] = {
+DEFECTIVE_CORES: dict[type[ConsensusCore], tuple[str, ...]] = {
     VotesAfterEmptyRestart: ("0 proposes, 2 is alone", "1 is killed, 0 is alone"),
     SkipsRestartFence: ("0 hears no asks", "1 is killed for a moment", "0 proposes, 2 is alone, a moment"),
     IgnoresLeaseExpiry: ("1 proposes, 2 is alone", "well"),
@@ -716,14 +725,14 @@
 
     @initialize(disk=st.booleans())
     def create_world(self, disk: bool) -> None:
-        self.world = settled(Accord, disk, FIVE_MEMBERS)
+        self.world = settled(ConsensusCore, disk, FIVE_MEMBERS)
         self.restarts = self.proposal_count = 0
 
     @rule(number=st.integers(0, 4), good=st.booleans())
     def propose(self, number: int, good: bool) -> None:
         core = self.world.cores[number]
         self.proposal_count += 1  # documents are unique, so that a rejection of one cannot affect another proposal
-        event = Propose(b"%s %d" % (b"doc" if good else b"bad", self.proposal_count), core.known.version)
+        event = Propose(b"%s %d" % (b"doc" if good else b"bad", self.proposal_count), core.last_decision.version)
         self.world.carry(number, core.handle(self.world.clock(number), event), Turn("well"))
 
     @rule(number=st.integers(0, 4), disk=st.booleans())
@@ -855,8 +864,8 @@
 
     def test_saved_state_is_loaded_unless_corrupted_or_of_another_member(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
-            memory = Memory(3, digest_of(b"three"), 9, 9, digest_of(b"four"))
-            self.assertTrue(PolicyConsensus.save(self.consensus(folder), Keep(memory, (b"three", b"four"))))
+            memory = VoterState(3, digest_of(b"three"), 9, 9, digest_of(b"four"))
+            self.assertTrue(PolicyConsensus.save(self.consensus(folder), PersistState(memory, (b"three", b"four"))))
             loaded = PolicyConsensus.load(self.consensus(folder))
             assert loaded is not None
             self.assertEqual((loaded.memory, loaded.documents), (memory, (b"three", b"four")))
@@ -866,7 +875,9 @@
                 with open(os.path.join(folder, name), "wb") as file:
                     file.write(content)
                 self.assertIsNone(PolicyConsensus.load(self.consensus(folder, int(name[-1]))))
-            self.assertFalse(PolicyConsensus.save(self.consensus(os.path.join(folder, "none")), Keep(memory, ())))
+            self.assertFalse(
+                PolicyConsensus.save(self.consensus(os.path.join(folder, "none")), PersistState(memory, ()))
+            )
 
 
 class RequestsUnderLease(unittest.TestCase):
