--- a/benchmarks/accord_cost.py
+++ b/benchmarks/accord_cost.py
@@ -15,7 +15,7 @@
 import time
 
 from petrelhall.accord.core import Accord, Heard, Send, Tick
-from petrelhall.accord.plan import pace
+from petrelhall.accord.plan import derive_timing
 from petrelhall.emulate.accord import TICK_MS, Cores
 from petrelhall.emulate.fabric import Fabric, Links
 
@@ -24,9 +24,9 @@
 
 def measure(members: int, seconds: float) -> tuple[float, float]:
     """Give the milliseconds of CPU that a second of agreement takes at a voter, and the microseconds of one look."""
-    driver = Cores(pace(members, 7, 100.0, 0.3, 2000.0, 0.0, 300.0, False), 1)
+    driver = Cores(derive_timing(members, 7, 100.0, 0.3, 2000.0, 0.0, 300.0, False), 1)
     fabric = Fabric(driver, members, Links(0.02, (1.0, 40.0)), 1, TICK_MS)
-    fabric.run(3.0 * (driver.pace.fence_ms + driver.pace.life_ms))
+    fabric.run(3.0 * (driver.pace.fence_ms + driver.pace.lease_duration_ms))
     heard: list[tuple[float, int, bytes]] = []
     give = fabric.give
     core: Accord = copy.deepcopy(fabric.cores[0])
--- a/benchmarks/scale/subjects/accord.py
+++ b/benchmarks/scale/subjects/accord.py
@@ -10,7 +10,7 @@
 from benchmarks.scale.replay import Datagram, Load, replay
 from benchmarks.scale.sampling import MEBIBYTE, Effort, Samples, held_bytes
 from petrelhall.accord.core import Accord, Action, Heard, Send, Tick
-from petrelhall.accord.plan import Pace, pace
+from petrelhall.accord.plan import TimingParameters, derive_timing
 from petrelhall.capacity.records import Slope
 from petrelhall.emulate.accord import FILE, TICK_MS, Cores, anything
 from petrelhall.emulate.fabric import Fabric, Links
@@ -21,9 +21,9 @@
 VOTER = 0  # a member that votes
 
 
-def pace_of(gateways: int) -> Pace:
+def pace_of(gateways: int) -> TimingParameters:
     """Give the paces at a size."""
-    return pace(gateways, VOTERS, PEER_MESSAGES_PER_S, SHARE, LEASE_MS, 0.0, LATE_MS, False)
+    return derive_timing(gateways, VOTERS, PEER_MESSAGES_PER_S, SHARE, LEASE_MS, 0.0, LATE_MS, False)
 
 
 def measure(effort: Effort) -> Iterator[Slope]:
@@ -49,7 +49,7 @@
         "It is computed, not measured, for 7 voters and 30 messages/s to each gateway; lost messages add to it.",
     )
     for gateways in effort.gateways:
-        lease.add(gateways, pace_of(gateways).life_ms)
+        lease.add(gateways, pace_of(gateways).lease_duration_ms)
         change.add(gateways, pace_of(gateways).check_ms)
     yield lease.slope()
     yield change.slope()
@@ -146,7 +146,7 @@
     """Simulate a fleet until it is at rest, and record what a voter hears from then on."""
     driver = Cores(pace_of(gateways), 1)
     fabric = RecordingFabric(driver, gateways, Links(LOSS, DELAY_MS), 1, TICK_MS)
-    fabric.run(SETTLING * driver.pace.life_ms + driver.pace.fence_ms)
+    fabric.run(SETTLING * driver.pace.lease_duration_ms + driver.pace.fence_ms)
     if not all(core.allowed(fabric.now) for core in fabric.cores.values()):
         raise RuntimeError(f"{gateways} gateways: not all hold a lease at rest")
     fabric.rest = Rest(copy.deepcopy(fabric.cores[VOTER]), fabric.now, fabric.now + 1000.0 * seconds)
--- a/benchmarks/scale/subjects/document.py
+++ b/benchmarks/scale/subjects/document.py
@@ -7,8 +7,8 @@
 
 from benchmarks.scale.installation import gateway_settings
 from benchmarks.scale.sampling import Effort, Samples, cpu_ms
-from petrelhall.accord.documents import MOST_BYTES
-from petrelhall.accord.words import DATA
+from petrelhall.accord.documents import MAX_DOCUMENT_BYTES
+from petrelhall.accord.words import PIECE_BYTES
 from petrelhall.capacity.records import Slope
 from petrelhall.decide import interface as api
 from petrelhall.operator.settings import ClassLimits, File, Limits, Shared
@@ -17,7 +17,7 @@
 
 def measure(effort: Effort) -> Iterator[Slope]:
     """Yield the slopes."""
-    limit = f"A document of more than {MOST_BYTES} bytes is refused by consensus, whatever it holds."
+    limit = f"A document of more than {MAX_DOCUMENT_BYTES} bytes is refused by consensus, whatever it holds."
     tenant_bytes = Samples(
         "document.tenants.bytes",
         "Shared document that states rate and burst for each tenant by name.",
@@ -58,7 +58,7 @@
         names = tuple(f"tenant-{number:06d}" for number in range(tenants))
         content = encode(Shared(plans={name: Limits(rate=5.5, burst=10.0) for name in names}))
         tenant_bytes.add(tenants, float(len(content)))
-        tenant_pieces.add(tenants, float(-(-len(content) // DATA)))
+        tenant_pieces.add(tenants, float(-(-len(content) // PIECE_BYTES)))
         plan = gateway_settings().plans[0]
         settings = dataclasses.replace(gateway_settings(), plans=(plan,) * tenants)
         read_plans(content, settings, names)  # the first time costs more
--- a/petrelhall/accord/change.py
+++ b/petrelhall/accord/change.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Literal
 
-from petrelhall.accord.plan import Pace
+from petrelhall.accord.plan import TimingParameters
 
 State = Literal["checking", "deciding", "decided", "in force", "nowhere", "not known"]
 ENDS: frozenset[State] = frozenset(("in force", "nowhere"))
@@ -25,18 +25,18 @@
     votes: set[int] = field(default_factory=set)
     asked: float = float("-inf")  # when the last message of it went out
 
-    def open(self, now: float, pace: Pace) -> bool:
+    def open(self, now: float, pace: TimingParameters) -> bool:
         """Tell whether its votes still count."""
         return now - self.began <= pace.ballot_ms
 
-    def promised(self, voter: int, accepted: int, digest: bytes, pace: Pace) -> None:
+    def promised(self, voter: int, accepted: int, digest: bytes, pace: TimingParameters) -> None:
         """Hear a promise; with a majority of them the value is settled: the latest accepted, or our own."""
         self.promises[voter] = accepted, digest
         if not self.value and len(self.promises) >= pace.majority:
             latest, value = max(self.promises.values())
             self.value = value if latest else self.own
 
-    def voted(self, voter: int, pace: Pace) -> bool:
+    def voted(self, voter: int, pace: TimingParameters) -> bool:
         """Hear a vote; True with the one that makes a majority."""
         before = len(self.votes)
         self.votes.add(voter)
@@ -71,7 +71,7 @@
         """Tell whether its end is known for certain."""
         return self.state in ENDS
 
-    def needed(self, pace: Pace) -> set[int] | None:
+    def needed(self, pace: TimingParameters) -> set[int] | None:
         """Give the members that may serve now; None until a majority of the voters has told of its leases."""
         if len(self.holders) < pace.majority:
             return None
--- a/petrelhall/accord/core.py
+++ b/petrelhall/accord/core.py
@@ -24,14 +24,14 @@
 from petrelhall.accord.lease import Holder
 from petrelhall.accord.leases import Leases
 from petrelhall.accord.outbox import Outbox
-from petrelhall.accord.plan import Pace
+from petrelhall.accord.plan import TimingParameters
 from petrelhall.accord.proposals import Proposals
 from petrelhall.accord.recovery import Recovery
 from petrelhall.accord.transfer import Transfer
 from petrelhall.accord.view import view
 from petrelhall.accord.votes import Memory, Voter
 from petrelhall.accord.voting import Voting
-from petrelhall.accord.words import FULL
+from petrelhall.accord.words import FULL_LEASE
 from petrelhall.events import Dropped, Heard, Quiet, Send, Tick
 
 __all__ = [
@@ -60,7 +60,7 @@
         self,
         number: int,
         life: int,
-        pace: Pace,
+        pace: TimingParameters,
         document: bytes,
         check: Callable[[bytes], str],
         seed: int,
@@ -80,7 +80,7 @@
         self.certain = memory is not None  # whether anything is known
         self.history = History()
         self.serving: tuple[int, bytes, bytes | None] | None = None
-        self.kind = FULL
+        self.kind = FULL_LEASE
         self.ballot: Ballot | None = None
         self.may_vote = True  # the shell says otherwise while votes could not be kept
         self.kept: Memory | None = memory
@@ -109,7 +109,7 @@
         if memory is not None:
             for content in documents:
                 self.documents.put(content)
-            self.recovery.remembers(now, memory, {})
+            self.recovery.start_voting(now, memory, {})
 
     # What the shell asks before every decision
 
@@ -131,7 +131,7 @@
         elif isinstance(event, Settle):
             self.proposals.settle(now)
         elif isinstance(event, Begin):
-            self.recovery.begin_at = now + self.pace.fence_ms  # who is there has answered by then
+            self.recovery.ignore_silent_from = now + self.pace.fence_ms  # who is there has answered by then
         elif isinstance(event, Quiet):
             self.outbox.quiet, self.ballot = True, None
         if not self.outbox.quiet:
@@ -171,7 +171,7 @@
         elif not self.outbox.quiet:
             self.dispatch(now, sender, message)
 
-    def dispatch(self, now: float, sender: int, message: words.AnyWord) -> None:
+    def dispatch(self, now: float, sender: int, message: words.AnyMessage) -> None:
         """Give a message to the part that it is for."""
         match message:
             case words.Ask():
--- a/petrelhall/accord/decisions.py
+++ b/petrelhall/accord/decisions.py
@@ -41,14 +41,14 @@
         core = self.core
         found = [entry for entry in core.history if entry[0] <= message.version]
         if found:
-            core.outbox.send(sender, words.Decided(core.life, tuple(found[: words.HISTORY])))
+            core.outbox.send(sender, words.Decided(core.life, tuple(found[: words.MAX_DECISIONS])))
 
     def behind(self, now: float, sender: int, slot: int, before: bytes) -> bool:
         """Learn what a message on a slot implies; True where the slot is one that is decided here, which is told."""
         core = self.core
         core.learn(now, slot - 1, before, sender)
         if core.certain and slot <= core.known.version:
-            core.outbox.send(sender, words.Decided(core.life, core.history.latest(words.HISTORY)))
+            core.outbox.send(sender, words.Decided(core.life, core.history.latest(words.MAX_DECISIONS)))
             return True
         return not core.certain or slot != core.known.version + 1
 
@@ -60,6 +60,6 @@
             if self.pushed == -math.inf:  # who decided it tells all, once
                 late = set(range(core.pace.members))
             self.pushed = now
-            message = words.Decided(core.life, core.history.latest(words.HISTORY))
+            message = words.Decided(core.life, core.history.latest(words.MAX_DECISIONS))
             for number in core.random.sample(sorted(late), len(late)):
                 core.outbox.send(number, message, float(len(core.pace.voters)))
--- a/petrelhall/accord/documents.py
+++ b/petrelhall/accord/documents.py
@@ -6,10 +6,10 @@
 import math
 from collections.abc import Iterator
 
-from petrelhall.accord.words import DATA
+from petrelhall.accord.words import PIECE_BYTES
 
-MOST_BYTES = 64 * 1024
-KEPT = 12  # documents held
+MAX_DOCUMENT_BYTES = 64 * 1024
+MAX_DOCUMENTS = 12  # documents held
 FETCHED = 4  # at a time
 WINDOW = 60  # pieces asked for at once
 
@@ -33,7 +33,7 @@
         self.held.pop(digest, None)
         self.held[digest] = content
         for old in [name for name in self.held if name not in keep and name != digest]:
-            if len(self.held) <= KEPT:
+            if len(self.held) <= MAX_DOCUMENTS:
                 break
             del self.held[old]
         self.parts.pop(digest, None)
@@ -53,7 +53,7 @@
         if source not in known:
             known.append(source)
 
-    def wants(self) -> Iterator[tuple[int, bytes, int, int]]:
+    def next_requests(self) -> Iterator[tuple[int, bytes, int, int]]:
         """Give whom to ask next for which pieces: member, digest, first missing piece and the following as bits."""
         for digest, parts in list(self.parts.items()):
             sources = self.sources[digest]
@@ -69,19 +69,19 @@
         if content is None:
             return
         for step in range(WINDOW):
-            start = (first + step) * DATA
+            start = (first + step) * PIECE_BYTES
             if mask >> step & 1 and start < max(1, len(content)):
-                yield first + step, len(content), content[start : start + DATA]
+                yield first + step, len(content), content[start : start + PIECE_BYTES]
 
     def piece(self, digest: bytes, index: int, size: int, data: bytes) -> bytes | None:
         """Take a piece in; the document where that was the last of it."""
         parts = self.parts.get(digest)
-        if parts is None or not 0 < size <= MOST_BYTES:
+        if parts is None or not 0 < size <= MAX_DOCUMENT_BYTES:
             return None
-        count = math.ceil(size / DATA)
+        count = math.ceil(size / PIECE_BYTES)
         if not parts:
             parts += [None] * count
-        if len(parts) != count or index >= count or len(data) != min(DATA, size - index * DATA):
+        if len(parts) != count or index >= count or len(data) != min(PIECE_BYTES, size - index * PIECE_BYTES):
             return None
         parts[index] = data
         if any(part is None for part in parts):
--- a/petrelhall/accord/lease.py
+++ b/petrelhall/accord/lease.py
@@ -4,8 +4,8 @@
 
 import math
 
-from petrelhall.accord.plan import Pace
-from petrelhall.accord.words import EITHER, FULL
+from petrelhall.accord.plan import TimingParameters
+from petrelhall.accord.words import EITHER_LEASE, FULL_LEASE
 
 KEPT = 16  # asks whose answers are still taken
 
@@ -13,17 +13,17 @@
 class Holder:
     """One member's lease on one version."""
 
-    def __init__(self, pace: Pace) -> None:
+    def __init__(self, pace: TimingParameters) -> None:
         self.pace = pace
         self.nonce = 0
         self.asked: dict[int, float] = {}  # by nonce: when
-        self.got: dict[int, dict[int, float]] = {FULL: {}, EITHER: {}}  # by kind and voter: until when
-        self.until: dict[int, float] = {FULL: -math.inf, EITHER: -math.inf}
+        self.got: dict[int, dict[int, float]] = {FULL_LEASE: {}, EITHER_LEASE: {}}  # by kind and voter: until when
+        self.until: dict[int, float] = {FULL_LEASE: -math.inf, EITHER_LEASE: -math.inf}
 
     def begin(self) -> None:
         """Hold nothing: another version is asked for."""
         self.asked.clear()
-        for kind in (FULL, EITHER):
+        for kind in (FULL_LEASE, EITHER_LEASE):
             self.got[kind].clear()
             self.until[kind] = -math.inf
 
@@ -40,9 +40,11 @@
         asked = self.asked.get(nonce)
         if asked is None or voter not in self.pace.voters or kind not in self.got:
             return False
-        for known in (FULL, EITHER) if kind == FULL else (EITHER,):  # a full lease is as good as the other
+        for known in (
+            (FULL_LEASE, EITHER_LEASE) if kind == FULL_LEASE else (EITHER_LEASE,)
+        ):  # a full lease is as good as the other
             until = self.got[known]
-            until[voter] = max(until.get(voter, -math.inf), asked + min(ms, self.pace.life_ms))
+            until[voter] = max(until.get(voter, -math.inf), asked + min(ms, self.pace.lease_duration_ms))
             ends = sorted(until.values(), reverse=True)
             if len(ends) >= self.pace.majority:
                 self.until[known] = ends[self.pace.majority - 1]
--- a/petrelhall/accord/leases.py
+++ b/petrelhall/accord/leases.py
@@ -6,7 +6,7 @@
 
 from petrelhall.accord import words
 from petrelhall.accord.events import Serve
-from petrelhall.accord.words import EITHER, FULL, NONE
+from petrelhall.accord.words import EITHER_LEASE, FULL_LEASE, NO_LEASE
 from petrelhall.events import Dropped
 
 if TYPE_CHECKING:
@@ -30,8 +30,8 @@
             missing = core.history.missing(core.known.version)
             if missing is not None:
                 core.outbox.send(core.random.choice(sorted(core.pace.voters)), words.Older(core.life, missing))
-            holds = core.holder.until[FULL] > now
-            self.next_ask = now + (core.pace.ask_ms if holds else core.pace.again_ms)
+            holds = core.holder.until[FULL_LEASE] > now
+            self.next_ask = now + (core.pace.renewal_interval_ms if holds else core.pace.acquire_interval_ms)
 
     def ask(self, now: float, voters: frozenset[int]) -> None:
         """Ask for a lease, where the document is held and can be served here; else give back what was before."""
@@ -46,7 +46,7 @@
             core.holder.ask(now),
             core.known.version,
             digest,
-            int(core.pace.life_ms),
+            int(core.pace.lease_duration_ms),
             held and not reason,
             self.before() is not None,
         )
@@ -56,8 +56,8 @@
             core.outbox.send(number, ask)
         if core.voter is not None and core.number in voters:
             kind = core.voter.grant(now, core.number, ask)
-            if kind != NONE:
-                core.holder.granted(core.number, ask.nonce, kind, float(ask.ms))
+            if kind != NO_LEASE:
+                core.holder.granted(core.number, ask.nonce, kind, float(ask.lease_ms))
             self.clear(now)
 
     def before(self) -> bytes | None:
@@ -74,7 +74,7 @@
         if core.voter is None:
             return
         kind = core.voter.grant(now, sender, message)
-        if kind != NONE or sender not in core.voter.waiting:  # one that waits is answered once there is an answer
+        if kind != NO_LEASE or sender not in core.voter.waiting:  # one that waits is answered once there is an answer
             self.answer(now, sender, message, kind)
         self.clear(now)
 
@@ -83,19 +83,19 @@
         core = self.core
         assert core.voter is not None
         if to == core.number:
-            core.holder.granted(to, ask.nonce, kind, float(ask.ms))
+            core.holder.granted(to, ask.nonce, kind, float(ask.lease_ms))
         elif core.certain:
             core.outbox.send(
                 to,
                 words.Grant(
                     core.life,
-                    ask.life,
+                    ask.incarnation,
                     ask.nonce,
                     kind,
-                    ask.ms,
+                    ask.lease_ms,
                     core.known.version,
                     core.known.digest,
-                    words.bitmap(core.voter.holders(now)),
+                    words.encode_bitmap(core.voter.holders(now)),
                 ),
             )
 
@@ -110,8 +110,8 @@
         """Take a lease in, or learn that another version is decided."""
         core = self.core
         core.learn(now, message.version, message.digest, sender)
-        if message.version == core.known.version and message.kind != NONE:
-            if not core.holder.granted(sender, message.nonce, message.kind, float(message.ms)):
+        if message.version == core.known.version and message.kind != NO_LEASE:
+            if not core.holder.granted(sender, message.nonce, message.kind, float(message.lease_ms)):
                 core.outbox.actions.append(Dropped("late"))
 
     def serve(self, now: float) -> None:
@@ -120,11 +120,11 @@
         digest = core.known.digest
         if not core.certain or digest not in core.documents.held:
             return
-        full = core.holder.until[FULL] > now
+        full = core.holder.until[FULL_LEASE] > now
         before = None if full else self.before()
-        if not full and (before is None or core.holder.until[EITHER] <= now):
+        if not full and (before is None or core.holder.until[EITHER_LEASE] <= now):
             return
-        core.kind = FULL if full else EITHER
+        core.kind = FULL_LEASE if full else EITHER_LEASE
         wanted = core.known.version, digest, before
         if wanted != core.serving:
             core.serving = wanted
@@ -132,7 +132,7 @@
             core.outbox.actions.append(Serve(core.known.version, held[digest], held[before] if before else None))
             for change in core.changes:
                 if not change.over and change.slot <= core.known.version:
-                    core.proposals.outcome(now, change)
+                    core.proposals.report_outcome(now, change)
 
     def owed(self, now: float) -> list[int]:
         """Give the members that are not known to have the decided version, as far as this gateway hears."""
@@ -141,5 +141,5 @@
             number
             for number in range(core.pace.members)
             if self.versions.get(number, (-1, 0.0))[0] < core.known.version
-            or now - self.versions[number][1] > 2.0 * core.pace.life_ms
+            or now - self.versions[number][1] > 2.0 * core.pace.lease_duration_ms
         ]
--- a/petrelhall/accord/plan.py
+++ b/petrelhall/accord/plan.py
@@ -14,8 +14,8 @@
 
 from dataclasses import dataclass
 
-RHO = 0.01  # by which the rate of a gateway's monotonic clock may be wrong, either way
-MARGIN = 1.03  # > (1 + RHO) / (1 - RHO)
+MAX_CLOCK_DRIFT = 0.01  # by which the rate of a gateway's monotonic clock may be wrong, either way
+CLOCK_MARGIN = 1.03  # > (1 + RHO) / (1 - RHO)
 ASKS = 3.0  # in the time of a lease
 EACH = 10.0  # members, for each so many of which as many messages as one takes in may go out
 LEAST_RETRY_MS = 100.0
@@ -24,16 +24,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pace:
+class TimingParameters:
     """What follows from the settings."""
 
     members: int
     voters: frozenset[int]
-    words_per_s: float
-    ask_ms: float  # between two asks for a lease
-    life_ms: float  # of a lease
+    receive_rate_per_s: float
+    renewal_interval_ms: float  # between two asks for a lease
+    lease_duration_ms: float  # of a lease
     ballot_ms: float
-    again_ms: float  # between two asks where there is no lease
+    acquire_interval_ms: float  # between two asks where there is no lease
     retry_ms: float  # between two other messages of one kind to one gateway that has not answered
     strictest: bool  # whether two versions of which either may be in force are served by the stricter of each field
 
@@ -43,9 +43,9 @@
         return len(self.voters) // 2 + 1
 
     @property
-    def out_per_s(self) -> float:
+    def send_rate_per_s(self) -> float:
         """Give the messages a second that may go out: what counts is what each takes in, and many hear of one."""
-        return self.words_per_s * max(1.0, self.members / EACH)
+        return self.receive_rate_per_s * max(1.0, self.members / EACH)
 
     @property
     def fence_ms(self) -> float:
@@ -53,12 +53,12 @@
 
         By then all leases that it granted have run out, and no ballot is open in which it voted.
         """
-        return MARGIN * max(self.life_ms, self.ballot_ms)
+        return CLOCK_MARGIN * max(self.lease_duration_ms, self.ballot_ms)
 
     @property
     def check_ms(self) -> float:
         """Give the time in which all must have looked at a change: the lease of who is gone has run out by then."""
-        return MARGIN * self.life_ms + 2000.0 + 4000.0 * self.members / self.words_per_s
+        return CLOCK_MARGIN * self.lease_duration_ms + 2000.0 + 4000.0 * self.members / self.receive_rate_per_s
 
 
 def voters_of(members: int, most: int) -> frozenset[int]:
@@ -67,7 +67,7 @@
     return frozenset(place * members // count for place in range(count))
 
 
-def pace(
+def derive_timing(
     members: int,
     most_voters: int,
     messages_per_s: float,
@@ -76,14 +76,22 @@
     hold_ms: float,
     late_ms: float,
     strictest: bool,
-) -> Pace:
+) -> TimingParameters:
     """Give the paces for so many members, where a gateway takes in so many messages a second."""
     voters = voters_of(members, most_voters)
     words = max(0.1, share * messages_per_s)
-    ask_ms = max(lease_ms / ASKS, 2000.0 * (members + len(voters)) / words)
+    renewal_interval_ms = max(lease_ms / ASKS, 2000.0 * (members + len(voters)) / words)
     retry_ms = max(LEAST_RETRY_MS, 1000.0 * len(voters) / words)
     ballot_ms = max(LEAST_BALLOT_MS, STEPS_OF_A_BALLOT * late_ms, 6.0 * retry_ms)
-    again_ms = max(retry_ms, 1000.0 * (members + len(voters)) / words)
-    return Pace(
-        members, voters, words, ask_ms, max(lease_ms, ASKS * ask_ms) + hold_ms, ballot_ms, again_ms, retry_ms, strictest
+    acquire_interval_ms = max(retry_ms, 1000.0 * (members + len(voters)) / words)
+    return TimingParameters(
+        members,
+        voters,
+        words,
+        renewal_interval_ms,
+        max(lease_ms, ASKS * renewal_interval_ms) + hold_ms,
+        ballot_ms,
+        acquire_interval_ms,
+        retry_ms,
+        strictest,
     )
--- a/petrelhall/accord/proposals.py
+++ b/petrelhall/accord/proposals.py
@@ -7,9 +7,9 @@
 
 from petrelhall.accord import words
 from petrelhall.accord.change import Change
-from petrelhall.accord.documents import MOST_BYTES, digest_of
+from petrelhall.accord.documents import MAX_DOCUMENT_BYTES, digest_of
 from petrelhall.accord.events import Propose, Told
-from petrelhall.accord.words import FULL
+from petrelhall.accord.words import FULL_LEASE
 
 if TYPE_CHECKING:
     from petrelhall.accord.core import Accord
@@ -37,8 +37,8 @@
         self.changes.append(change)
         busy = [one for one in self.changes if one is not change and not one.over and one.slot == change.slot]
         reason = ""
-        if len(event.content) > MOST_BYTES:
-            reason = f"larger than {MOST_BYTES} bytes"
+        if len(event.content) > MAX_DOCUMENT_BYTES:
+            reason = f"larger than {MAX_DOCUMENT_BYTES} bytes"
         elif not core.certain:
             reason = core.trouble or "this gateway does not know yet what is in force"
         elif event.base != core.known.version:
@@ -72,7 +72,7 @@
             if not change.over:
                 self.follow(now, change)
 
-    def deciding(self) -> bytes | None:
+    def digest_to_decide(self) -> bytes | None:
         """Give the digest of the change that waits for a ballot on the next version, if there is one."""
         return next(
             (
@@ -87,7 +87,7 @@
         """Take one change a step further."""
         core = self.core
         if core.known.version >= change.slot:
-            return self.outcome(now, change)
+            return self.report_outcome(now, change)
         if change.state == "checking":
             self.follow_checks(now, change)
         elif change.state == "deciding" and now - change.began > self.patience(change) + GIVE_UP * core.pace.ballot_ms:
@@ -118,7 +118,7 @@
         core = self.core
         change.asked = now
         content = core.documents.held.get(change.digest, b"")
-        whole = content if len(content) <= words.DATA else b""
+        whole = content if len(content) <= words.PIECE_BYTES else b""
         message = words.Check(core.life, change.slot, change.digest, change.before, whole)
         others = [number for number in range(core.pace.members) if number != core.number]
         voters = [number for number in others if number in core.pace.voters]
@@ -131,10 +131,10 @@
     def patience(self, change: Change) -> float:
         """Give the time in which all must have looked at a change: a long document takes its time to come."""
         core = self.core
-        pieces = len(core.documents.held.get(change.digest, b"")) / words.DATA
-        return core.pace.check_ms + COPIES * 1000.0 * pieces * core.pace.members / core.pace.words_per_s
+        pieces = len(core.documents.held.get(change.digest, b"")) / words.PIECE_BYTES
+        return core.pace.check_ms + COPIES * 1000.0 * pieces * core.pace.members / core.pace.receive_rate_per_s
 
-    def outcome(self, now: float, change: Change) -> None:
+    def report_outcome(self, now: float, change: Change) -> None:
         """Tell a change's end from what was decided in its slot."""
         core = self.core
         decided = core.history.digest(change.slot)
@@ -142,7 +142,9 @@
             change.state = "not known"
         elif decided != change.digest:
             self.end(now, change, "nowhere", {-1: f"version {change.slot} was decided to be another"})
-        elif core.known.version > change.slot or (core.serving is not None and core.kind == FULL and core.allowed(now)):
+        elif core.known.version > change.slot or (
+            core.serving is not None and core.kind == FULL_LEASE and core.allowed(now)
+        ):
             self.end(now, change, "in force")
         elif change.state != "decided":
             change.end(now, "decided")
@@ -161,7 +163,7 @@
     def on_check(self, now: float, sender: int, message: words.Check) -> None:
         """Look at a document that may come, and tell what this gateway's own checks say."""
         core = self.core
-        if core.decisions.behind(now, sender, message.slot, message.before):
+        if core.decisions.behind(now, sender, message.slot, message.previous_digest):
             return
         if (
             message.content
@@ -178,13 +180,13 @@
             sender,
             words.Opinion(
                 core.life,
-                message.life,
+                message.incarnation,
                 message.slot,
                 message.digest,
                 (2 if reason else 1) * held,
                 short(reason),
                 votes,
-                words.bitmap(holders),
+                words.encode_bitmap(holders),
             ),
         )
 
@@ -195,7 +197,7 @@
             if change.state == "checking" and (change.slot, change.digest) == (message.slot, message.digest):
                 self.opinion(now, change, sender, message.verdict, message.reason)
                 if message.votes and sender in core.pace.voters:
-                    change.holders[sender] = words.numbers(message.holders)
+                    change.holders[sender] = words.decode_bitmap(message.holders)
 
     def opinion(self, now: float, change: Change, member: int, verdict: int, reason: str) -> None:
         """Count an opinion; one gateway that could not serve it stops a change."""
@@ -206,4 +208,4 @@
 
 def short(reason: str) -> str:
     """Give as much of a reason as a message holds."""
-    return reason.encode()[: words.REASON].decode(errors="ignore")
+    return reason.encode()[: words.MAX_REASON_BYTES].decode(errors="ignore")
--- a/petrelhall/accord/recovery.py
+++ b/petrelhall/accord/recovery.py
@@ -21,7 +21,9 @@
         self.query: tuple[int, dict[int, words.State]] | None = None
         self.queried = -math.inf
         self.roots: tuple[int, ...] = ()  # incarnations of all voters, in their order, where they began together
-        self.begin_at = math.inf  # from when on voters that are not heard count as gone, by an operator's order
+        self.ignore_silent_from = (
+            math.inf
+        )  # from when on voters that are not heard count as gone, by an operator's order
 
     def recover(self, now: float) -> None:
         """Learn what is in force; as a voter, ask for all there is to be remembered, once nothing can be left.
@@ -40,7 +42,7 @@
         if learns:
             memory = self.memory_from(now, answers)
             if memory is not None:
-                return self.remembers(now, memory, answers)
+                return self.start_voting(now, memory, answers)
         self.queried = now
         # Also those that answered: one that was empty may remember by now.
         for number in core.pace.voters - {core.number}:
@@ -51,15 +53,15 @@
         core = self.core
         remembering = [state for state in answers.values() if state.remembers]
         empty = {number: state.digest for number, state in answers.items() if not state.remembers}
-        missing = (core.pace.voters - {core.number} - set(answers)) if now < self.begin_at else set()
+        missing = (core.pace.voters - {core.number} - set(answers)) if now < self.ignore_silent_from else set()
         if len(remembering) > len(core.pace.voters) - core.pace.majority or (
-            remembering and not missing and now >= self.begin_at
+            remembering and not missing and now >= self.ignore_silent_from
         ):
             return best([memory_of(state) for state in remembering])
         differ = sorted(number for number, digest in empty.items() if digest != core.file)
         if not missing and not remembering and not differ:  # nobody knows anything: all began together
             self.roots = tuple(
-                answers[number].life if number in answers else core.life * (number == core.number)
+                answers[number].incarnation if number in answers else core.life * (number == core.number)
                 for number in sorted(core.pace.voters)
             )
             return Memory(0, core.file)
@@ -76,13 +78,13 @@
         )
         return None
 
-    def remembers(self, now: float, memory: Memory, answers: dict[int, words.State]) -> None:
+    def start_voting(self, now: float, memory: Memory, answers: dict[int, words.State]) -> None:
         """Vote from now on."""
         core = self.core
         assert core.voter is not None
         core.voter.memory, core.voter.remembers = memory, True
         core.voter.accepted_at = now
-        self.query, self.begin_at, core.trouble = None, math.inf, ""
+        self.query, self.ignore_silent_from, core.trouble = None, math.inf, ""
         source = next((number for number, state in answers.items() if state.digest == memory.digest), core.number)
         core.learn(now, memory.version, memory.digest, source)
         if core.known.version > memory.version:
@@ -103,7 +105,7 @@
             sender,
             words.State(
                 core.life,
-                message.life,
+                message.incarnation,
                 message.nonce,
                 voter.remembers,
                 memory.version,
--- a/petrelhall/accord/transfer.py
+++ b/petrelhall/accord/transfer.py
@@ -9,7 +9,7 @@
 from petrelhall.accord import words
 from petrelhall.accord.documents import Documents
 from petrelhall.accord.outbox import Outbox
-from petrelhall.accord.plan import Pace
+from petrelhall.accord.plan import TimingParameters
 
 OTHERS = 0.3  # of the requests for a document go to any member
 PIECES = 40  # waiting to be sent, at most
@@ -18,7 +18,9 @@
 class Transfer:
     """The documents on their way here, and the pieces that others wait for."""
 
-    def __init__(self, life: int, pace: Pace, documents: Documents, outbox: Outbox, draw: random.Random) -> None:
+    def __init__(
+        self, life: int, pace: TimingParameters, documents: Documents, outbox: Outbox, draw: random.Random
+    ) -> None:
         self.life, self.pace, self.documents, self.outbox, self.random = life, pace, documents, outbox, draw
         self.sought = -math.inf  # when documents were last asked for
         self.pieces: deque[tuple[int, words.Piece]] = deque()
@@ -43,7 +45,7 @@
         if not self.documents.parts or now - self.sought < self.pace.retry_ms:
             return
         self.sought = now
-        for source, digest, missing, mask in self.documents.wants():
+        for source, digest, missing, mask in self.documents.next_requests():
             if self.random.random() < OTHERS:  # whoever named it may be gone
                 source = self.random.randrange(self.pace.members)
             self.outbox.send(source, words.Want(self.life, digest, missing, mask))
--- a/petrelhall/accord/view.py
+++ b/petrelhall/accord/view.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING, Any
 
 from petrelhall.accord.change import Change
-from petrelhall.accord.words import FULL
+from petrelhall.accord.words import FULL_LEASE
 
 if TYPE_CHECKING:
     from petrelhall.accord.core import Accord
@@ -27,7 +27,7 @@
     """Give all of it as JSON's values."""
     state = "unsure"
     if core.allowed(now):
-        state = "serving" if core.kind == FULL else "strictest"
+        state = "serving" if core.kind == FULL_LEASE else "strictest"
     memory = core.voter.memory if core.voter is not None and core.voter.remembers else None
     pending = [
         {"digest": change.digest.hex(), "version": change.slot, "state": change.state}
@@ -59,8 +59,8 @@
         "history": [{"version": version, "digest": digest.hex()} for version, digest in core.history],
         "changes": [change_row(change, now) for change in core.changes],
         "pace": {
-            "life_ms": round(core.pace.life_ms),
-            "ask_ms": round(core.pace.ask_ms),
+            "life_ms": round(core.pace.lease_duration_ms),
+            "ask_ms": round(core.pace.renewal_interval_ms),
             "fence_ms": round(core.pace.fence_ms),
             "voters": sorted(core.pace.voters),
         },
--- a/petrelhall/accord/votes.py
+++ b/petrelhall/accord/votes.py
@@ -14,8 +14,8 @@
 
 from dataclasses import dataclass
 
-from petrelhall.accord.plan import MARGIN, Pace
-from petrelhall.accord.words import EITHER, FULL, NONE, Ask
+from petrelhall.accord.plan import CLOCK_MARGIN, TimingParameters
+from petrelhall.accord.words import EITHER_LEASE, FULL_LEASE, NO_LEASE, Ask
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
 class Voter:
     """One voter's memory and grants."""
 
-    def __init__(self, pace: Pace, memory: Memory | None, now: float) -> None:
+    def __init__(self, pace: TimingParameters, memory: Memory | None, now: float) -> None:
         self.pace, self.remembers, self.memory = pace, memory is not None, memory or Memory()
         self.fence = now + pace.fence_ms  # before, an earlier incarnation's grants may hold and its ballots be open
         self.grants: dict[tuple[int, int], tuple[int, float]] = {}  # by member and incarnation: version, until when
@@ -89,31 +89,31 @@
 
     def grant(self, now: float, member: int, ask: Ask) -> int:
         """Grant a lease, of the kind that is safe now; what the member gives back is given back all the same."""
-        key = member, ask.life
+        key = member, ask.incarnation
         held = self.grants.get(key)
         if held is not None and held[0] < ask.version:
             del self.grants[key]
         self.waiting.pop(member, None)
         memory = self.memory
         if (
-            not ask.wants
+            not ask.wants_lease
             or not self.remembers
             or now < self.fence
             or ask.version != memory.version
             or ask.digest != memory.digest
             or memory.accepted
         ):
-            return NONE
+            return NO_LEASE
         earlier = {version for version, until in self.grants.values() if version < memory.version and until > now}
-        kind = NONE
+        kind = NO_LEASE
         if not earlier:
-            kind = FULL
-        elif ask.either and self.pace.strictest and earlier == {memory.version - 1}:
-            kind = EITHER
-        if kind != FULL:
+            kind = FULL_LEASE
+        elif ask.holds_previous and self.pace.strictest and earlier == {memory.version - 1}:
+            kind = EITHER_LEASE
+        if kind != FULL_LEASE:
             self.waiting[member] = ask
-        if kind != NONE:
-            self.grants[key] = memory.version, now + ask.ms * MARGIN
+        if kind != NO_LEASE:
+            self.grants[key] = memory.version, now + ask.lease_ms * CLOCK_MARGIN
         return kind
 
     def cleared(self, now: float) -> list[tuple[int, Ask]]:
--- a/petrelhall/accord/voting.py
+++ b/petrelhall/accord/voting.py
@@ -27,7 +27,7 @@
         if ballot is not None and not ballot.open(now, core.pace):
             ballot = core.ballot = None
         if ballot is None:
-            own = core.proposals.deciding()
+            own = core.proposals.digest_to_decide()
             if own is not None or self.unfinished(now):
                 ballot = core.ballot = self.begin(now, own or core.known.digest)
         if ballot is not None and now - ballot.asked >= core.pace.retry_ms:
@@ -79,7 +79,7 @@
     def on_prepare(self, now: float, sender: int, message: words.Prepare) -> None:
         """Promise, or tell of a later ballot."""
         core = self.core
-        if not self.voting(now, sender, message.slot, message.before):
+        if not self.voting(now, sender, message.slot, message.previous_digest):
             return
         assert core.voter is not None
         self.seen_ballot = max(self.seen_ballot, message.ballot)
@@ -88,24 +88,30 @@
             memory = core.voter.memory
             core.outbox.send(
                 sender,
-                words.Promise(core.life, message.life, message.slot, message.ballot, memory.accepted, memory.value),
+                words.Promise(
+                    core.life, message.incarnation, message.slot, message.ballot, memory.accepted, memory.value
+                ),
             )
         else:
-            core.outbox.send(sender, words.Nack(core.life, message.life, message.slot, core.voter.memory.promised))
+            core.outbox.send(
+                sender, words.Nack(core.life, message.incarnation, message.slot, core.voter.memory.promised)
+            )
 
     def on_accept(self, now: float, sender: int, message: words.Accept) -> None:
         """Vote, or tell of a later ballot."""
         core = self.core
-        if not self.voting(now, sender, message.slot, message.before):
+        if not self.voting(now, sender, message.slot, message.previous_digest):
             return
         assert core.voter is not None
         self.seen_ballot = max(self.seen_ballot, message.ballot)
         core.transfer.seek(message.digest, sender)
         if core.voter.accept(now, message.ballot, message.digest):
             core.keep()
-            core.outbox.send(sender, words.Accepted(core.life, message.life, message.slot, message.ballot))
+            core.outbox.send(sender, words.Accepted(core.life, message.incarnation, message.slot, message.ballot))
         else:
-            core.outbox.send(sender, words.Nack(core.life, message.life, message.slot, core.voter.memory.promised))
+            core.outbox.send(
+                sender, words.Nack(core.life, message.incarnation, message.slot, core.voter.memory.promised)
+            )
 
     def on_promise(self, now: float, sender: int, message: words.Promise) -> None:
         """Count a promise."""
--- a/petrelhall/capacity/sizes.py
+++ b/petrelhall/capacity/sizes.py
@@ -59,7 +59,7 @@
     control_machines: int = 10
     machine_cpu: float = 1.0  # of a core: a process of ours is one thread
     descriptors: int = 1024  # of one process
-    document_bytes: int = 65536  # not a budget but what the program takes: ``accord.documents.MOST_BYTES``
+    document_bytes: int = 65536  # not a budget but what the program takes: ``accord.documents.MAX_DOCUMENT_BYTES``
 
 
 def checked(size: Size) -> Size:
--- a/petrelhall/distribution/consensus.py
+++ b/petrelhall/distribution/consensus.py
@@ -9,9 +9,9 @@
 
 from petrelhall.accord import core
 from petrelhall.accord.documents import digest_of
-from petrelhall.accord.plan import Pace, pace
+from petrelhall.accord.plan import TimingParameters, derive_timing
 from petrelhall.accord.votes import Memory
-from petrelhall.accord.words import FULL
+from petrelhall.accord.words import FULL_LEASE
 from petrelhall.configuration.records import FIRST_RECORD, ControlRecord, decode_record, encode_record
 from petrelhall.distribution.coordinator import ConsensusState, ProposalFailed
 from petrelhall.distribution.timing import CHECK_ROUNDS, MARGIN, REPLICA_ROUND_MS, Timing
@@ -39,7 +39,7 @@
 ConsensusAction = SendConsensus | PersistVotes
 
 
-class ReplicaPace(Pace):
+class ReplicaPace(TimingParameters):
     """The consensus' timing among few replicas."""
 
     @property
@@ -48,15 +48,15 @@
 
         A replica that dies meanwhile is asked until then; by then its lease has run out, and nobody asks it again.
         """
-        return MARGIN * self.life_ms + CHECK_ROUNDS * REPLICA_ROUND_MS
+        return MARGIN * self.lease_duration_ms + CHECK_ROUNDS * REPLICA_ROUND_MS
 
 
 def replica_pace(replicas: int, timing: Timing) -> ReplicaPace:
     """Give the consensus' timing for so many replicas."""
     lease_ms = timing.consensus_lease_ms
-    found = pace(replicas, replicas, MESSAGES_PER_S, 1.0, lease_ms, 0.0, REPLICA_ROUND_MS, strictest=False)
+    found = derive_timing(replicas, replicas, MESSAGES_PER_S, 1.0, lease_ms, 0.0, REPLICA_ROUND_MS, strictest=False)
     known = {one.name: getattr(found, one.name) for one in fields(found)}
-    return ReplicaPace(**{**known, "retry_ms": RETRY_MS, "again_ms": RETRY_MS})
+    return ReplicaPace(**{**known, "retry_ms": RETRY_MS, "acquire_interval_ms": RETRY_MS})
 
 
 def check_record(content: bytes) -> str:
@@ -147,4 +147,4 @@
         if self.slot < 0:
             return None
         current = accord.certain and accord.known.version == self.slot
-        return ConsensusState(self.slot, self.record, accord.holder.until[FULL] if current else -math.inf)
+        return ConsensusState(self.slot, self.record, accord.holder.until[FULL_LEASE] if current else -math.inf)
--- a/petrelhall/distribution/coordinator.py
+++ b/petrelhall/distribution/coordinator.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from petrelhall.accord.documents import MOST_BYTES
+from petrelhall.accord.documents import MAX_DOCUMENT_BYTES
 from petrelhall.configuration.document import Document
 from petrelhall.configuration.errors import ConfigurationError
 from petrelhall.configuration.records import FIRST_RECORD, ControlRecord, encode_record
@@ -31,7 +31,7 @@
 )
 from petrelhall.distribution.timing import PROPOSE_AGAIN_MS, Timing
 
-MOST_RECORD_BYTES = MOST_BYTES - 4096  # of the consensus' documents; the rest is for how the change ends
+MOST_RECORD_BYTES = MAX_DOCUMENT_BYTES - 4096  # of the consensus' documents; the rest is for how the change ends
 MOST_QUEUED = 1000  # operators' changes that wait for their turn
 FORGET_EVERY_MS = 1000.0
 
--- a/petrelhall/emulate/accord.py
+++ b/petrelhall/emulate/accord.py
@@ -14,7 +14,7 @@
 
 from petrelhall.accord import words
 from petrelhall.accord.core import Accord, Heard, Keep, Propose, Send, Tick
-from petrelhall.accord.plan import RHO, Pace, pace
+from petrelhall.accord.plan import MAX_CLOCK_DRIFT, TimingParameters, derive_timing
 from petrelhall.accord.votes import Memory
 from petrelhall.emulate.fabric import Fabric, Links
 from petrelhall.emulate.search import Found
@@ -23,7 +23,7 @@
 TICK_MS = 50.0
 FILE = b'{"plans":{}}'
 REFUSED = b"bad"  # how a document begins that gateway 2 cannot serve
-PACE = pace(3, 7, 400.0, 0.5, 1000.0, 0.0, 50.0, False)
+PACE = derive_timing(3, 7, 400.0, 0.5, 1000.0, 0.0, 50.0, False)
 
 
 def check(content: bytes) -> str:
@@ -117,7 +117,7 @@
 
     kind: type[Accord]
     disk: bool = False  # whether gateways have folders that last
-    pace: Pace = PACE
+    pace: TimingParameters = PACE
     now: float = 0.0
     lives: int = 0
     proposals: int = 0
@@ -142,7 +142,7 @@
     def start(self, number: int) -> None:
         """Start a gateway, empty or with what its folder holds."""
         self.lives += 1
-        rate = (1.0 - RHO, 1.0, 1.0 + RHO)[number % 3]
+        rate = (1.0 - MAX_CLOCK_DRIFT, 1.0, 1.0 + MAX_CLOCK_DRIFT)[number % 3]
         self.clocks[number] = rate, 1e6 * self.lives - rate * self.now
         self.dead.discard(number)
         memory, documents = self.disks.get(number, (None, ()))
@@ -252,7 +252,7 @@
         self.record.admitted = [one for some in kept.values() for one in {some[0], some[-1]}]
 
 
-def settled(kind: type[Accord], disk: bool = False, paces: Pace = PACE, document: bytes = FILE) -> World:
+def settled(kind: type[Accord], disk: bool = False, paces: TimingParameters = PACE, document: bytes = FILE) -> World:
     """Give gateways that have begun together and serve version 0."""
     world = World(kind, disk, paces, document=document)
     for number in range(paces.members):
@@ -299,7 +299,7 @@
 class Cores:
     """Drives cores in a fabric; keeps what they serve and what operators are told."""
 
-    def __init__(self, paces: Pace, seed: int) -> None:
+    def __init__(self, paces: TimingParameters, seed: int) -> None:
         self.pace, self.seed, self.lives = paces, seed, 0
         self.words: Counter[int] = Counter()  # sent, by member
 
@@ -347,7 +347,7 @@
     strictest: bool = False,
 ) -> Fleet:
     """Have changes proposed one after another; from the first on a share of the members is killed, or cut off."""
-    paces = pace(members, 7, messages_per_s, share, 2000.0, 0.0, 300.0, strictest)
+    paces = derive_timing(members, 7, messages_per_s, share, 2000.0, 0.0, 300.0, strictest)
     driver, record = Cores(paces, seed), Record()
     fabric = Fabric(driver, members, links, seed, TICK_MS)
     draw = random.Random(seed)
@@ -375,7 +375,7 @@
 
     apart = struck = set[int]()
     seen: list[float] = []
-    longest = 20.0 * (paces.life_ms + paces.fence_ms + paces.check_ms)
+    longest = 20.0 * (paces.lease_duration_ms + paces.fence_ms + paces.check_ms)
     settle(lambda: all(core.allowed(fabric.now) for core in fabric.cores.values()), longest)
     seen.clear()
     began, words_before = fabric.now, sum(driver.words.values())
@@ -411,7 +411,7 @@
             record.claims.append(Claim(fabric.now, change.slot, change.digest.hex()[:8], change.state))
             settle(all_serve, longest)
             everywhere.append((fabric.now - start) / 1000.0)
-        settle(lambda: False, paces.life_ms)
+        settle(lambda: False, paces.lease_duration_ms)
     record.histories = [{version: digest.hex()[:8] for version, digest in core.history} for core in running()]
     kept: dict[tuple[int, int, bool], list[Admitted]] = {}
     for one in record.admitted:
--- a/petrelhall/gateway/agreement.py
+++ b/petrelhall/gateway/agreement.py
@@ -33,10 +33,10 @@
     Told,
 )
 from petrelhall.accord.documents import digest_of
-from petrelhall.accord.plan import pace
+from petrelhall.accord.plan import derive_timing
 from petrelhall.accord.view import change_row
 from petrelhall.accord.votes import Memory
-from petrelhall.accord.words import FULL, KIND
+from petrelhall.accord.words import FRAME_KIND, FULL_LEASE
 from petrelhall.control.calls import Policy
 from petrelhall.decide import interface as api
 from petrelhall.gateway.peers import Peers
@@ -85,7 +85,7 @@
         self.check, self.apply = check, apply
         self.number, self.name = platform.position, name
         now = now_ms()
-        timing = pace(
+        timing = derive_timing(
             platform.gateways,
             settings.voters,
             platform.peer_messages_per_s,
@@ -118,7 +118,7 @@
         self.last_held_at = -math.inf  # last time at which requests could be decided on
         self.serves_file_at_start = settings.begin == "file"  # serve the file's policy until a version is known
         self.ended = self.was_ready = False  # was_ready: requests could be decided on at least once
-        peers.datagram_handlers[KIND] = self.on_message
+        peers.datagram_handlers[FRAME_KIND] = self.on_message
         loop.after(TICK_INTERVAL_MS, self.tick)
 
     # Called when requests are decided on
@@ -300,7 +300,7 @@
         document = self.core.documents.held.get(self.core.known.digest) if self.core.certain else None
         return {
             **view,
-            "kind": "full" if self.core.kind == FULL else "either",
+            "kind": "full" if self.core.kind == FULL_LEASE else "either",
             "document": msgspec.json.decode(document) if document is not None else None,
         }
 
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -24,11 +24,11 @@
 from petrelhall.accord import words
 from petrelhall.accord.change import Ballot, ballot_number
 from petrelhall.accord.core import Abort, Accord, Begin, Dropped, Heard, Keep, Propose, Quiet, Send, Settle, Tick
-from petrelhall.accord.documents import DATA, KEPT, MOST_BYTES, Documents, digest_of
+from petrelhall.accord.documents import MAX_DOCUMENT_BYTES, MAX_DOCUMENTS, PIECE_BYTES, Documents, digest_of
 from petrelhall.accord.lease import Holder
-from petrelhall.accord.plan import MARGIN, RHO, Pace, pace, voters_of
+from petrelhall.accord.plan import CLOCK_MARGIN, MAX_CLOCK_DRIFT, TimingParameters, derive_timing, voters_of
 from petrelhall.accord.votes import Memory, Voter, best
-from petrelhall.accord.words import EITHER, FULL, NONE, STEPS, Ask
+from petrelhall.accord.words import CHANGE_MESSAGES, EITHER_LEASE, FULL_LEASE, NO_LEASE, Ask
 from petrelhall.cli.main import main
 from petrelhall.control.calls import Call, Policy, read_call
 from petrelhall.decide import interface as api
@@ -54,7 +54,7 @@
 from petrelhall.standins.world import World as RealWorld
 from petrelhall.standins.world import settings as platform
 
-FIVE = pace(5, 7, 400.0, 0.5, 1000.0, 0.0, 50.0, False)
+FIVE = derive_timing(5, 7, 400.0, 0.5, 1000.0, 0.0, 50.0, False)
 CALM = Turn("well", steps=20)
 
 
@@ -78,40 +78,40 @@
 
     def test_a_version_is_granted_only_once_every_lease_on_the_one_before_is_over_or_given_back(self) -> None:
         voter = self.voter()
-        self.assertEqual(voter.grant(0.0, 2, self.ask(0, digest=b"d0")), FULL)
-        self.assertEqual(voter.grant(0.0, 0, self.ask(0, digest=b"d0")), FULL)
+        self.assertEqual(voter.grant(0.0, 2, self.ask(0, digest=b"d0")), FULL_LEASE)
+        self.assertEqual(voter.grant(0.0, 0, self.ask(0, digest=b"d0")), FULL_LEASE)
         voter.learn(1, b"d1")
-        self.assertEqual(voter.grant(10.0, 0, self.ask()), NONE)  # 2 may still serve by version 0
+        self.assertEqual(voter.grant(10.0, 0, self.ask()), NO_LEASE)  # 2 may still serve by version 0
         self.assertEqual(voter.cleared(1000.0), [])  # its lease runs by its own clock, which may be slow
-        self.assertEqual([member for member, _ in voter.cleared(1000.0 * MARGIN)], [0])
+        self.assertEqual([member for member, _ in voter.cleared(1000.0 * CLOCK_MARGIN)], [0])
         voter = self.voter()
         voter.grant(0.0, 2, self.ask(0, digest=b"d0"))
         voter.learn(1, b"d1")
-        self.assertEqual(voter.grant(10.0, 0, self.ask()), NONE)
-        self.assertEqual(voter.grant(20.0, 2, self.ask(life=8)), NONE)  # another life of it gives nothing back
-        self.assertEqual(voter.grant(30.0, 2, self.ask()), FULL)
+        self.assertEqual(voter.grant(10.0, 0, self.ask()), NO_LEASE)
+        self.assertEqual(voter.grant(20.0, 2, self.ask(life=8)), NO_LEASE)  # another life of it gives nothing back
+        self.assertEqual(voter.grant(30.0, 2, self.ask()), FULL_LEASE)
 
     def test_who_voted_for_the_next_version_grants_nothing_on_this_one(self) -> None:
         voter = self.voter()
         self.assertTrue(voter.promise(5))
-        self.assertEqual(voter.grant(0.0, 0, self.ask(0, digest=b"d0")), FULL)
+        self.assertEqual(voter.grant(0.0, 0, self.ask(0, digest=b"d0")), FULL_LEASE)
         self.assertFalse(voter.accept(0.0, 4, b"x"))  # a later ballot was promised
         self.assertTrue(voter.accept(0.0, 5, b"x"))
-        self.assertEqual(voter.grant(0.0, 0, self.ask(0, digest=b"d0")), NONE)
+        self.assertEqual(voter.grant(0.0, 0, self.ask(0, digest=b"d0")), NO_LEASE)
         self.assertFalse(voter.promise(4))
         voter.learn(1, b"y")  # decided to be another: the slot is another now
         self.assertEqual((voter.memory.accepted, voter.memory.promised), (0, 0))
 
     def test_nothing_is_granted_by_one_that_is_empty_or_whose_earlier_life_may_have_granted(self) -> None:
         voter = Voter(PACE, Memory(1, b"d1"), 0.0)
-        self.assertEqual(voter.grant(PACE.fence_ms - 1.0, 0, self.ask()), NONE)
-        self.assertEqual(voter.grant(PACE.fence_ms, 0, self.ask()), FULL)
-        self.assertGreaterEqual(PACE.fence_ms, MARGIN * PACE.life_ms)
-        self.assertEqual(Voter(PACE, None, -1e9).grant(0.0, 0, self.ask()), NONE)
-        self.assertEqual(self.voter().grant(0.0, 0, self.ask(0, digest=b"another")), NONE)
+        self.assertEqual(voter.grant(PACE.fence_ms - 1.0, 0, self.ask()), NO_LEASE)
+        self.assertEqual(voter.grant(PACE.fence_ms, 0, self.ask()), FULL_LEASE)
+        self.assertGreaterEqual(PACE.fence_ms, CLOCK_MARGIN * PACE.lease_duration_ms)
+        self.assertEqual(Voter(PACE, None, -1e9).grant(0.0, 0, self.ask()), NO_LEASE)
+        self.assertEqual(self.voter().grant(0.0, 0, self.ask(0, digest=b"another")), NO_LEASE)
 
     def test_the_stricter_of_two_is_granted_only_where_wanted_and_only_next_to_the_version_before(self) -> None:
-        for wanted, either, kind in ((True, True, EITHER), (True, False, NONE), (False, True, NONE)):
+        for wanted, either, kind in ((True, True, EITHER_LEASE), (True, False, NO_LEASE), (False, True, NO_LEASE)):
             voter = self.voter(wanted)
             voter.grant(0.0, 2, self.ask(0, digest=b"d0"))
             voter.learn(1, b"d1")
@@ -119,25 +119,28 @@
         voter = self.voter(True)
         voter.grant(0.0, 2, self.ask(0, digest=b"d0"))
         voter.learn(2, b"d2")
-        self.assertEqual(voter.grant(10.0, 0, self.ask(2, either=True, digest=b"d2")), NONE)
+        self.assertEqual(voter.grant(10.0, 0, self.ask(2, either=True, digest=b"d2")), NO_LEASE)
 
     def test_a_lease_counts_from_the_ask_and_only_with_a_majority_of_the_voters(self) -> None:
         holder = Holder(PACE)
         nonce = holder.ask(100.0)
-        self.assertTrue(holder.granted(0, nonce, FULL, 1000.0))
-        self.assertEqual(holder.until[FULL], -math.inf)
-        self.assertFalse(holder.granted(9, nonce, FULL, 1000.0))  # no voter
-        self.assertFalse(holder.granted(1, nonce + 1, FULL, 1000.0))  # never asked
-        self.assertTrue(holder.granted(1, nonce, EITHER, 1000.0))
-        self.assertEqual((holder.until[FULL], holder.until[EITHER]), (-math.inf, 1100.0))
-        self.assertTrue(holder.granted(2, nonce, FULL, 9999.0))
-        self.assertTrue(holder.granted(0, nonce, FULL, 9999.0))  # no longer than was asked for
-        self.assertEqual(holder.until[FULL], 1100.0)
+        self.assertTrue(holder.granted(0, nonce, FULL_LEASE, 1000.0))
+        self.assertEqual(holder.until[FULL_LEASE], -math.inf)
+        self.assertFalse(holder.granted(9, nonce, FULL_LEASE, 1000.0))  # no voter
+        self.assertFalse(holder.granted(1, nonce + 1, FULL_LEASE, 1000.0))  # never asked
+        self.assertTrue(holder.granted(1, nonce, EITHER_LEASE, 1000.0))
+        self.assertEqual((holder.until[FULL_LEASE], holder.until[EITHER_LEASE]), (-math.inf, 1100.0))
+        self.assertTrue(holder.granted(2, nonce, FULL_LEASE, 9999.0))
+        self.assertTrue(holder.granted(0, nonce, FULL_LEASE, 9999.0))  # no longer than was asked for
+        self.assertEqual(holder.until[FULL_LEASE], 1100.0)
         holder.begin()
-        self.assertFalse(holder.granted(2, nonce, FULL, 1000.0))  # an answer of the version before
+        self.assertFalse(holder.granted(2, nonce, FULL_LEASE, 1000.0))  # an answer of the version before
 
     def test_clocks_that_run_apart_leave_no_moment_for_two(self) -> None:
-        self.assertGreater(PACE.life_ms * MARGIN / (1.0 + RHO), PACE.life_ms / (1.0 - RHO))
+        self.assertGreater(
+            PACE.lease_duration_ms * CLOCK_MARGIN / (1.0 + MAX_CLOCK_DRIFT),
+            PACE.lease_duration_ms / (1.0 - MAX_CLOCK_DRIFT),
+        )
 
     def test_a_ballots_votes_count_for_its_time_only_and_its_number_is_nobody_elses(self) -> None:
         ballot = Ballot(1, ballot_number(0, 2, 5), 0.0, b"own")
@@ -160,22 +163,22 @@
         )
 
     def test_words_fit_for_a_thousand_members_and_junk_is_told_apart(self) -> None:
-        everyone, digest = words.bitmap(set(range(1000))), bytes(16)
+        everyone, digest = words.encode_bitmap(set(range(1000))), bytes(16)
         big = 2**62
         for word in (
             words.Grant(big, big, big, 2, 99999, 99999, digest, everyone),
-            words.Opinion(big, big, 99999, digest, 2, "x" * words.REASON, True, everyone),
-            words.Decided(big, ((99999, digest),) * words.HISTORY),
-            words.Check(big, 99999, digest, digest, bytes(DATA)),
-            words.Piece(big, digest, 500, MOST_BYTES, bytes(DATA)),
+            words.Opinion(big, big, 99999, digest, 2, "x" * words.MAX_REASON_BYTES, True, everyone),
+            words.Decided(big, ((99999, digest),) * words.MAX_DECISIONS),
+            words.Check(big, 99999, digest, digest, bytes(PIECE_BYTES)),
+            words.Piece(big, digest, 500, MAX_DOCUMENT_BYTES, bytes(PIECE_BYTES)),
             words.State(big, big, big, True, 99999, digest, big, big, digest, (2**31,) * 15),
         ):
             content = words.encode(word, 1000, 7)
-            self.assertLessEqual(len(content), words.MOST, type(word).__name__)
+            self.assertLessEqual(len(content), words.MAX_MESSAGE_BYTES, type(word).__name__)
             self.assertEqual(words.decode(content, 1000, 7), word)
             self.assertEqual(words.decode(content, 1000, 5), "foreign")
             self.assertEqual(words.decode(content[:-1] + bytes([content[-1] ^ 1]), 1000, 7), "spoilt")
-        self.assertEqual(words.numbers(words.bitmap({0, 9, 200})), {0, 9, 200})
+        self.assertEqual(words.decode_bitmap(words.encode_bitmap({0, 9, 200})), {0, 9, 200})
         self.assertEqual(voters_of(200, 7), frozenset(place * 200 // 7 for place in range(7)))
 
     def test_documents_come_in_pieces_by_digest_and_what_is_held_is_bounded(self) -> None:
@@ -186,7 +189,7 @@
         got, asks = None, 0
         while got is None and asks < 40:
             asks += 1
-            for _, name, first, mask in taker.wants():
+            for _, name, first, mask in taker.next_requests():
                 for index, size, data in giver.pieces(name, first, mask):
                     if draw.random() > 0.2:
                         got = taker.piece(name, index, size, data) or got
@@ -194,9 +197,9 @@
         self.assertIsNone(taker.piece(digest_of(b"never asked"), 0, 11, b"never asked"))
         taker.seek(digest_of(b"right"), 1)
         self.assertIsNone(taker.piece(digest_of(b"right"), 0, 5, b"wrong"))  # begun anew, not taken
-        for number in range(3 * KEPT):
+        for number in range(3 * MAX_DOCUMENTS):
             taker.put(b"%d" % number, frozenset((digest_of(b"0"),)))
-        self.assertEqual(len(taker.held), KEPT)
+        self.assertEqual(len(taker.held), MAX_DOCUMENTS)
         self.assertIn(digest_of(b"0"), taker.held)
 
 
@@ -206,7 +209,7 @@
     def setUp(self) -> None:
         self.worlds: list[World] = []
 
-    def world(self, paces: Pace = PACE, disk: bool = False, document: bytes = FILE) -> World:
+    def world(self, paces: TimingParameters = PACE, disk: bool = False, document: bytes = FILE) -> World:
         world = settled(Accord, disk, paces, document)
         self.worlds.append(world)
         self.assertTrue(all(core.allowed(world.clock(number)) for number, core in world.cores.items()))
@@ -273,7 +276,7 @@
     def test_a_change_for_another_version_or_too_large_or_too_early_is_nowhere_at_once(self) -> None:
         world = self.world()
         self.propose(world, 0, b"one", base=4)
-        self.propose(world, 0, bytes(MOST_BYTES + 1))
+        self.propose(world, 0, bytes(MAX_DOCUMENT_BYTES + 1))
         self.assertEqual(self.ends(world, 0), ["nowhere", "nowhere"])
         fresh = Accord(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
         fresh.handle(0.0, Propose(b"x", 0))
@@ -288,7 +291,7 @@
         world.take(Turn("well", steps=40))
         self.assertEqual(self.versions(world)[:2], [1, 1])
         took = world.cores[0].changes[0]
-        self.assertLess(took.ended - took.began, MARGIN * FIVE.life_ms + 1000.0)
+        self.assertLess(took.ended - took.began, CLOCK_MARGIN * FIVE.lease_duration_ms + 1000.0)
         self.assertIn(2, world.cores[0].owed(world.clock(0)))
         world.now += 3_600_000.0  # an hour later by its clock
         world.start(2)
@@ -316,7 +319,7 @@
 
     def test_a_split_in_any_phase_leaves_the_smaller_part_unserved_and_one_version(self) -> None:
         for sides in (((0, 1, 2), (3, 4)), ((0, 1), (2, 3), (4,))):
-            for word in STEPS:
+            for word in CHANGE_MESSAGES:
                 for proposer in (0, 4):
                     world = self.world(FIVE)
                     cut: list[bool] = []
@@ -461,7 +464,7 @@
         world = self.world()
         core = world.cores[0]
         now = world.clock(0)
-        grant = words.Grant(9, core.life + 1, core.holder.nonce, FULL, 1000, 0, core.known.digest, b"")
+        grant = words.Grant(9, core.life + 1, core.holder.nonce, FULL_LEASE, 1000, 0, core.known.digest, b"")
         found = core.handle(now, Heard(1, words.encode(grant, 3, 3)))
         self.assertIn(Dropped("other_life"), found)
         for late, version in ((PACE.ballot_ms + 1.0, 0), (0.0, 1)):
@@ -524,7 +527,7 @@
         self.assertEqual(core.handle(now, Quiet()), [])
         self.assertTrue(core.allowed(now))
         self.assertEqual(core.handle(now + 500.0, Tick()), [])
-        self.assertFalse(core.allowed(now + PACE.life_ms))
+        self.assertFalse(core.allowed(now + PACE.lease_duration_ms))
 
     def test_what_must_not_be_forgotten_is_kept_before_it_is_said(self) -> None:
         world = self.world(disk=True)
@@ -551,14 +554,14 @@
             self.assertLess(order.index(f"{number} kept True"), order.index(f"{number} voted"))
 
     def test_each_step_of_a_change_survives_a_kill_or_a_stop_just_before_and_just_after_it(self) -> None:
-        for word in STEPS:
+        for word in CHANGE_MESSAGES:
             for victims in ("proposer", "voter", "majority"):
                 for do in ("kill", "stop"):
                     for after in (False, True):
                         with self.subTest(word=word.__name__, victims=victims, do=do, after=after):
                             self.strike(word, victims, do, after)
 
-    def strike(self, word: type[words.Word], victims: str, do: str, after: bool) -> None:
+    def strike(self, word: type[words.Message], victims: str, do: str, after: bool) -> None:
         """Propose, strike at the first word of a kind, bring all back, and see that the end is known and one."""
         world = self.world(FIVE, disk=victims == "majority")  # without folders a majority would have forgotten
         struck: list[int] = []
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -277,7 +277,7 @@
         self.assertEqual(figures.POOL_CLOCK_S * 1000.0, pool.TICK_MS)
         self.assertEqual(figures.QUOTA_CLOCK_S * 1000.0, ledger.TURN_MS)
         self.assertEqual(figures.CALLS_AT_ONCE, ask.CALLS_AT_ONCE)
-        self.assertEqual(Budget().document_bytes, documents.MOST_BYTES)
+        self.assertEqual(Budget().document_bytes, documents.MAX_DOCUMENT_BYTES)
         self.assertEqual(workload.TENANT_KEPT_S * 1000.0, policy.IDLE_CUSTOMER_TTL_MS)
 
     def test_records_that_cannot_be_used(self) -> None:
