--- a/petrelhall/accord/documents.py
+++ b/petrelhall/accord/documents.py
@@ -1,4 +1,4 @@
-"""Documents by digest, fetched in pieces over a network that loses some; bounded in number and size."""
+"""Documents by digest, transferred in pieces over a lossy network; bounded in number and size."""
 
 from __future__ import annotations
 
@@ -9,26 +9,27 @@
 from petrelhall.accord.words import PIECE_BYTES
 
 MAX_DOCUMENT_BYTES = 64 * 1024
-MAX_DOCUMENTS = 12  # documents held
-FETCHED = 4  # at a time
-WINDOW = 60  # pieces asked for at once
+MAX_DOCUMENTS = 12  # stored at once
+MAX_TRANSFERS = 4  # documents fetched at once
+REQUEST_WINDOW = 60  # pieces requested in one message
 
 
 def digest_of(content: bytes) -> bytes:
-    """Give the name of a document."""
+    """Return the digest that identifies a document."""
     return hashlib.blake2b(content, digest_size=16).digest()
 
 
 class Documents:
-    """What is held, and what is on its way here."""
+    """The stored documents, and those being fetched."""
 
     def __init__(self) -> None:
         self.held: dict[bytes, bytes] = {}
-        self.parts: dict[bytes, list[bytes | None]] = {}  # none known yet: an empty list
-        self.sources: dict[bytes, list[int]] = {}
+        # The pieces received of each document being fetched; empty while its size is unknown.
+        self.parts: dict[bytes, list[bytes | None]] = {}
+        self.sources: dict[bytes, list[int]] = {}  # the members to fetch it from
 
     def put(self, content: bytes, keep: frozenset[bytes] = frozenset()) -> bytes:
-        """Hold a document; the oldest goes that is not to be kept."""
+        """Store a document; above the limit, evict the oldest ones that are not in ``keep``."""
         digest = digest_of(content)
         self.held.pop(digest, None)
         self.held[digest] = content
@@ -41,10 +42,10 @@
         return digest
 
     def seek(self, digest: bytes, source: int) -> None:
-        """Have a document fetched from a member that may hold it; the oldest wish gives way to a new one."""
+        """Fetch a document from a member that may have it; above the limit, the oldest transfer is cancelled."""
         if digest in self.held or not digest:
             return
-        while len(self.parts) >= FETCHED and digest not in self.parts:
+        while len(self.parts) >= MAX_TRANSFERS and digest not in self.parts:
             oldest = next(iter(self.parts))
             del self.parts[oldest]
             self.sources.pop(oldest, None)
@@ -54,27 +55,27 @@
             known.append(source)
 
     def next_requests(self) -> Iterator[tuple[int, bytes, int, int]]:
-        """Give whom to ask next for which pieces: member, digest, first missing piece and the following as bits."""
+        """Yield the next request of each transfer: member, digest, first missing piece, mask of it and those after."""
         for digest, parts in list(self.parts.items()):
             sources = self.sources[digest]
-            sources.append(sources.pop(0))  # in turn: one of them may be gone
+            sources.append(sources.pop(0))  # in rotation, since one of them may be gone
             missing = [index for index, part in enumerate(parts) if part is None] or [0]
             first = missing[0]
-            mask = sum(1 << index - first for index in missing if index - first < WINDOW)
-            yield sources[-1], digest, first, mask if parts else (1 << WINDOW) - 1
+            mask = sum(1 << index - first for index in missing if index - first < REQUEST_WINDOW)
+            yield sources[-1], digest, first, mask if parts else (1 << REQUEST_WINDOW) - 1
 
     def pieces(self, digest: bytes, first: int, mask: int) -> Iterator[tuple[int, int, bytes]]:
-        """Give the pieces that were asked for: index, size of the whole, bytes."""
+        """Yield the requested pieces: index, size of the whole document, data."""
         content = self.held.get(digest)
         if content is None:
             return
-        for step in range(WINDOW):
-            start = (first + step) * PIECE_BYTES
-            if mask >> step & 1 and start < max(1, len(content)):
-                yield first + step, len(content), content[start : start + PIECE_BYTES]
+        for offset in range(REQUEST_WINDOW):
+            start = (first + offset) * PIECE_BYTES
+            if mask >> offset & 1 and start < max(1, len(content)):
+                yield first + offset, len(content), content[start : start + PIECE_BYTES]
 
     def piece(self, digest: bytes, index: int, size: int, data: bytes) -> bytes | None:
-        """Take a piece in; the document where that was the last of it."""
+        """Add a received piece; return the document if that was its last missing one."""
         parts = self.parts.get(digest)
         if parts is None or not 0 < size <= MAX_DOCUMENT_BYTES:
             return None
@@ -87,7 +88,7 @@
         if any(part is None for part in parts):
             return None
         content = b"".join(part for part in parts if part is not None)
-        if digest_of(content) != digest:  # a piece of something else under this name: begin anew
+        if digest_of(content) != digest:  # some piece belonged to another document: start the transfer again
             parts.clear()
             return None
         return content
--- a/petrelhall/accord/plan.py
+++ b/petrelhall/accord/plan.py
@@ -1,75 +1,80 @@
-"""The paces of agreement as formulas of the settings. ``docs/design/accord.md`` derives them. Times are milliseconds.
-
-With n members of which k vote, and a share s of the m messages a second that a gateway takes in:
-
-    messages a second       r = s m
-    between two asks        p = max(lease / 3, 2 (n + k) / r)     a voter hears n asks in that time and answers them
-    where there is no lease p / 2 at most, q = max(100 ms, k / r) where few ask
-    a lease                 l = max(lease, 3 p) + hold
-    a ballot                b                                     of its votes none counts later, by the asker's clock
-    an empty start          f = MARGIN max(l, b)                  in which a process neither votes nor grants
+"""Timing parameters of the consensus, derived from the settings. ``docs/design/accord.md`` derives the formulas.
+
+Times are milliseconds. With n members of which k are voters, and a share s of the m messages a second that a gateway
+can receive:
+
+    receive rate              r = s m                           in messages a second
+    renewal interval          p = max(lease / 3, 2 (n + k) / r) a voter receives and answers n asks in that time
+    acquire interval          p / 2 at most                     between two asks while no lease is held;
+                              q = max(100 ms, k / r)            while only few members ask
+    lease duration            l = max(lease, 3 p) + hold
+    ballot duration           b                                 votes after it do not count, by the proposer's clock
+    fence after a cold start  f = CLOCK_MARGIN max(l, b)        a process without state neither votes nor grants in it
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-MAX_CLOCK_DRIFT = 0.01  # by which the rate of a gateway's monotonic clock may be wrong, either way
-CLOCK_MARGIN = 1.03  # > (1 + RHO) / (1 - RHO)
-ASKS = 3.0  # in the time of a lease
-EACH = 10.0  # members, for each so many of which as many messages as one takes in may go out
-LEAST_RETRY_MS = 100.0
-STEPS_OF_A_BALLOT = 6.0  # ways there and back that its two rounds may take, with messages lost
-LEAST_BALLOT_MS = 1500.0
+MAX_CLOCK_DRIFT = 0.01  # largest error of the rate of a gateway's monotonic clock, in either direction
+CLOCK_MARGIN = 1.03  # > (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT)
+RENEWALS_PER_LEASE = 3.0
+MEMBERS_PER_SEND_SHARE = 10.0  # for every so many members, the receive rate of one gateway may be sent
+MIN_RETRY_MS = 100.0
+TRIPS_PER_BALLOT = 6.0  # message delays that the two rounds of a ballot may take, lost messages included
+MIN_BALLOT_MS = 1500.0
 
 
 @dataclass(frozen=True, slots=True)
 class TimingParameters:
-    """What follows from the settings."""
+    """The timing parameters that follow from the settings."""
 
     members: int
     voters: frozenset[int]
     receive_rate_per_s: float
     renewal_interval_ms: float  # between two asks for a lease
-    lease_duration_ms: float  # of a lease
+    lease_duration_ms: float
     ballot_ms: float
-    acquire_interval_ms: float  # between two asks where there is no lease
-    retry_ms: float  # between two other messages of one kind to one gateway that has not answered
-    strictest: bool  # whether two versions of which either may be in force are served by the stricter of each field
+    acquire_interval_ms: float  # between two asks while no lease is held
+    retry_ms: float  # between two other messages of one kind to a gateway that has not answered
+    strictest: bool  # whether, if either of two versions may be in force, the stricter value of each field is served
 
     @property
     def majority(self) -> int:
-        """Give the least number of voters that is more than half."""
+        """Return the least number of voters that is more than half."""
         return len(self.voters) // 2 + 1
 
     @property
     def send_rate_per_s(self) -> float:
-        """Give the messages a second that may go out: what counts is what each takes in, and many hear of one."""
-        return self.receive_rate_per_s * max(1.0, self.members / EACH)
+        """Return the messages a second that may be sent.
+
+        The receive rate of each gateway is the limit, and what one gateway sends is spread over many receivers.
+        """
+        return self.receive_rate_per_s * max(1.0, self.members / MEMBERS_PER_SEND_SHARE)
 
     @property
     def fence_ms(self) -> float:
-        """Give the time after a start in which a process does nothing that an earlier one may have promised not to.
+        """Return the time after a start in which a process does nothing that its predecessor may have ruled out.
 
-        By then all leases that it granted have run out, and no ballot is open in which it voted.
+        After it, all leases that the predecessor granted have expired, and no ballot in which it voted is open.
         """
         return CLOCK_MARGIN * max(self.lease_duration_ms, self.ballot_ms)
 
     @property
     def check_ms(self) -> float:
-        """Give the time in which all must have looked at a change: the lease of who is gone has run out by then."""
+        """Return the time in which all members must check a change; a dead member's lease has expired by then."""
         return CLOCK_MARGIN * self.lease_duration_ms + 2000.0 + 4000.0 * self.members / self.receive_rate_per_s
 
 
-def voters_of(members: int, most: int) -> frozenset[int]:
-    """Give who votes: all, or so many spread evenly over the numbers."""
-    count = min(members, most)
+def voters_of(members: int, max_voters: int) -> frozenset[int]:
+    """Return the voters: all members, or ``max_voters`` of them spread evenly over the member numbers."""
+    count = min(members, max_voters)
     return frozenset(place * members // count for place in range(count))
 
 
 def derive_timing(
     members: int,
-    most_voters: int,
+    max_voters: int,
     messages_per_s: float,
     share: float,
     lease_ms: float,
@@ -77,19 +82,19 @@
     late_ms: float,
     strictest: bool,
 ) -> TimingParameters:
-    """Give the paces for so many members, where a gateway takes in so many messages a second."""
-    voters = voters_of(members, most_voters)
-    words = max(0.1, share * messages_per_s)
-    renewal_interval_ms = max(lease_ms / ASKS, 2000.0 * (members + len(voters)) / words)
-    retry_ms = max(LEAST_RETRY_MS, 1000.0 * len(voters) / words)
-    ballot_ms = max(LEAST_BALLOT_MS, STEPS_OF_A_BALLOT * late_ms, 6.0 * retry_ms)
-    acquire_interval_ms = max(retry_ms, 1000.0 * (members + len(voters)) / words)
+    """Derive the timing for a number of members that can each receive so many messages a second."""
+    voters = voters_of(members, max_voters)
+    receive_rate = max(0.1, share * messages_per_s)
+    renewal_interval_ms = max(lease_ms / RENEWALS_PER_LEASE, 2000.0 * (members + len(voters)) / receive_rate)
+    retry_ms = max(MIN_RETRY_MS, 1000.0 * len(voters) / receive_rate)
+    ballot_ms = max(MIN_BALLOT_MS, TRIPS_PER_BALLOT * late_ms, 6.0 * retry_ms)
+    acquire_interval_ms = max(retry_ms, 1000.0 * (members + len(voters)) / receive_rate)
     return TimingParameters(
         members,
         voters,
-        words,
+        receive_rate,
         renewal_interval_ms,
-        max(lease_ms, ASKS * renewal_interval_ms) + hold_ms,
+        max(lease_ms, RENEWALS_PER_LEASE * renewal_interval_ms) + hold_ms,
         ballot_ms,
         acquire_interval_ms,
         retry_ms,
--- a/petrelhall/accord/recovery.py
+++ b/petrelhall/accord/recovery.py
@@ -1,4 +1,4 @@
-"""A start: learning what is in force, and as a voter that started empty what it may have voted on before."""
+"""Start of a process: learns the decided version and, for a voter without stored state, what it may have voted on."""
 
 from __future__ import annotations
 
@@ -14,22 +14,21 @@
 
 
 class Recovery:
-    """Asks the voters what they remember, until this gateway knows what is in force and may vote."""
+    """Queries the voters for their state until this gateway knows the decided version and may vote."""
 
     def __init__(self, core: Accord) -> None:
         self.core = core
-        self.query: tuple[int, dict[int, words.State]] | None = None
+        self.query: tuple[int, dict[int, words.State]] | None = None  # nonce, and the answers by voter
         self.queried = -math.inf
-        self.roots: tuple[int, ...] = ()  # incarnations of all voters, in their order, where they began together
-        self.ignore_silent_from = (
-            math.inf
-        )  # from when on voters that are not heard count as gone, by an operator's order
+        # Incarnations of all voters, in the order of their numbers, if they started together without state.
+        self.founding_incarnations: tuple[int, ...] = ()
+        self.ignore_silent_from = math.inf  # from then on silent voters count as gone, on an operator's command
 
     def recover(self, now: float) -> None:
-        """Learn what is in force; as a voter, ask for all there is to be remembered, once nothing can be left.
+        """Learn the decided version; as a voter without state, also learn the votes, once the fence has passed.
 
-        What a majority voted on, this gateway's earlier incarnation among them, at least one of the voters knows that
-        remember, where all but one fewer than a majority do.
+        What a majority that included this gateway's earlier incarnation voted on is known to at least one of the
+        voters with state, if answers come from all but one fewer than a majority of the voters.
         """
         core = self.core
         voter = core.voter
@@ -44,12 +43,12 @@
             if memory is not None:
                 return self.start_voting(now, memory, answers)
         self.queried = now
-        # Also those that answered: one that was empty may remember by now.
+        # Includes the voters that have answered: one that had no state may have recovered it since.
         for number in core.pace.voters - {core.number}:
             core.outbox.send(number, words.Query(core.life, nonce))
 
     def memory_from(self, now: float, answers: dict[int, words.State]) -> Memory | None:
-        """Give what this voter is to remember by what others answered; None, and why, while that is not known."""
+        """Return the state that this voter takes over from the answers; None, with ``core.trouble`` set, if unknown."""
         core = self.core
         remembering = [state for state in answers.values() if state.remembers]
         empty = {number: state.digest for number, state in answers.items() if not state.remembers}
@@ -59,27 +58,27 @@
         ):
             return best([memory_of(state) for state in remembering])
         differ = sorted(number for number, digest in empty.items() if digest != core.file)
-        if not missing and not remembering and not differ:  # nobody knows anything: all began together
-            self.roots = tuple(
+        if not missing and not remembering and not differ:  # no voter has any state: all of them start together
+            self.founding_incarnations = tuple(
                 answers[number].incarnation if number in answers else core.life * (number == core.number)
                 for number in sorted(core.pace.voters)
             )
             return Memory(0, core.file)
         place = sorted(core.pace.voters).index(core.number)
-        for state in remembering:  # who began with this very process, which has not voted on anything since
-            if state.roots and state.roots[place] == core.life:
-                self.roots = state.roots
+        for state in remembering:  # a voter that started together with this very process, which has not voted since
+            if state.founding_incarnations and state.founding_incarnations[place] == core.life:
+                self.founding_incarnations = state.founding_incarnations
                 return Memory(0, core.file)
         core.trouble = (
-            f"started empty, and the shared part of the file differs from that of {differ}"
+            f"started without state, and the shared part of the file differs from that of {differ}"
             if differ and not remembering
-            else f"started empty: {len(remembering)} voters that remember were heard"
-            + (f", {sorted(missing)} are silent" if missing else "")
+            else f"started without state: {len(remembering)} voters with state have answered"
+            + (f", no answer from {sorted(missing)}" if missing else "")
         )
         return None
 
     def start_voting(self, now: float, memory: Memory, answers: dict[int, words.State]) -> None:
-        """Vote from now on."""
+        """Take over the recovered state, and vote from now on."""
         core = self.core
         assert core.voter is not None
         core.voter.memory, core.voter.remembers = memory, True
@@ -92,10 +91,10 @@
         if memory.value:
             core.documents.seek(memory.value, source)
         core.keep()
-        core.outbox.actions.append(Told(f"votes from now on, version {core.known.version}"))
+        core.outbox.actions.append(Told(f"voting from now on, version {core.known.version}"))
 
     def on_query(self, now: float, sender: int, message: words.Query) -> None:
-        """Tell one that starts empty what there is."""
+        """Answer a voter without state with this voter's state."""
         core = self.core
         voter = core.voter
         if voter is None:
@@ -113,20 +112,20 @@
                 memory.promised,
                 memory.accepted,
                 memory.value,
-                self.roots,
+                self.founding_incarnations,
             ),
         )
 
     def on_state(self, now: float, sender: int, message: words.State) -> None:
-        """Hear what another voter remembers; only what was asked after the fence counts for one's own votes."""
+        """Receive another voter's state; for this voter's own state only answers to queries after the fence count."""
         core = self.core
         if self.query is not None and message.nonce == self.query[0] and sender in core.pace.voters:
             self.query[1][sender] = message
-            self.queried = -math.inf  # it may have been the last that was missing
+            self.queried = -math.inf  # evaluate the answers at once: this may have been the last one missing
         if message.remembers:
             core.learn(now, message.version, message.digest, sender)
 
 
 def memory_of(state: words.State) -> Memory:
-    """Give what a voter told of its memory."""
+    """Return the voter's state that a message carries."""
     return Memory(state.version, state.digest, state.promised, state.accepted, state.value)
--- a/petrelhall/accord/view.py
+++ b/petrelhall/accord/view.py
@@ -1,4 +1,4 @@
-"""What operators are shown of agreement, as JSON's values."""
+"""The state of the consensus as operators see it, as JSON values."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def change_row(change: Change, now: float) -> dict[str, Any]:
-    """Give one change of an operator's."""
+    """Return one change that an operator proposed here."""
     return {
         "digest": change.digest.hex(),
         "version": change.slot,
@@ -24,7 +24,7 @@
 
 
 def view(core: Accord, now: float) -> dict[str, Any]:
-    """Give all of it as JSON's values."""
+    """Return the whole state of this gateway's consensus."""
     state = "unsure"
     if core.allowed(now):
         state = "serving" if core.kind == FULL_LEASE else "strictest"
