--- a/petrelhall/accord/change.py
+++ b/petrelhall/accord/change.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from typing import Literal
 
-from petrelhall.accord.plan import Pace
+from petrelhall.accord.plan import TimingParameters
 
 ChangeState = Literal["checking", "deciding", "decided", "in force", "nowhere", "not known"]
 FINAL_STATES: frozenset[ChangeState] = frozenset(("in force", "nowhere"))
@@ -27,18 +27,18 @@
     votes: set[int] = field(default_factory=set)
     last_sent_at: float = float("-inf")  # when its messages were last sent
 
-    def is_open(self, now: float, pace: Pace) -> bool:
+    def is_open(self, now: float, pace: TimingParameters) -> bool:
         """Return whether votes for this ballot still count."""
         return now - self.started_at <= pace.ballot_ms
 
-    def add_promise(self, voter: int, accepted: int, digest: bytes, pace: Pace) -> None:
+    def add_promise(self, voter: int, accepted: int, digest: bytes, pace: TimingParameters) -> None:
         """Record a promise; a majority of them fixes the value: the one accepted latest, or else our own."""
         self.promises[voter] = accepted, digest
         if not self.value and len(self.promises) >= pace.majority:
             latest, value = max(self.promises.values())
             self.value = value if latest else self.own_value
 
-    def add_vote(self, voter: int, pace: Pace) -> bool:
+    def add_vote(self, voter: int, pace: TimingParameters) -> bool:
         """Record a vote; return True for the one that completes a majority."""
         count_before = len(self.votes)
         self.votes.add(voter)
@@ -73,7 +73,7 @@
         """Return whether the outcome is known for certain."""
         return self.state in FINAL_STATES
 
-    def required_members(self, pace: Pace) -> set[int] | None:
+    def required_members(self, pace: TimingParameters) -> set[int] | None:
         """Return the members that may be serving now; None until a majority of voters has reported its leases."""
         if len(self.holders) < pace.majority:
             return None
--- a/petrelhall/accord/core.py
+++ b/petrelhall/accord/core.py
@@ -34,14 +34,14 @@
 from petrelhall.accord.lease import LeaseHolder
 from petrelhall.accord.leases import Leases
 from petrelhall.accord.outbox import Outbox
-from petrelhall.accord.plan import Pace
+from petrelhall.accord.plan import TimingParameters
 from petrelhall.accord.proposals import Proposals
 from petrelhall.accord.recovery import Recovery
 from petrelhall.accord.transfer import Transfer
 from petrelhall.accord.view import view
 from petrelhall.accord.votes import Voter, VoterState
 from petrelhall.accord.voting import Voting
-from petrelhall.accord.words import FULL
+from petrelhall.accord.words import FULL_LEASE
 from petrelhall.events import Dropped, MessageReceived, Send, Superseded, Tick
 
 __all__ = [
@@ -74,7 +74,7 @@
         self,
         number: int,
         incarnation: int,
-        pace: Pace,
+        pace: TimingParameters,
         document: bytes,
         check: Callable[[bytes], str],
         seed: int,
@@ -95,7 +95,7 @@
         self.has_decision = stored_state is not None
         self.history = History()
         self.serving: tuple[int, bytes, bytes | None] | None = None
-        self.lease_kind = FULL
+        self.lease_kind = FULL_LEASE
         self.ballot: Ballot | None = None
         self.may_vote = True  # cleared by the caller while it cannot persist votes
         self.persisted: VoterState | None = stored_state
@@ -125,7 +125,7 @@
         if stored_state is not None:
             for content in documents:
                 self.documents.put(content)
-            self.recovery.remembers(now, stored_state, {})
+            self.recovery.start_voting(now, stored_state, {})
 
     # Called before each admission decision
 
@@ -147,7 +147,7 @@
         elif isinstance(event, SettleSlot):
             self.proposals.settle(now)
         elif isinstance(event, DeclareVotersLost):
-            self.recovery.begin_at = now + self.pace.fence_ms  # live voters have answered by then
+            self.recovery.ignore_silent_from = now + self.pace.fence_ms  # live voters have answered by then
         elif isinstance(event, Superseded):
             self.outbox.superseded, self.ballot = True, None
         if not self.outbox.superseded:
@@ -187,7 +187,7 @@
         elif not self.outbox.superseded:
             self.dispatch(now, sender, message)
 
-    def dispatch(self, now: float, sender: int, message: words.AnyWord) -> None:
+    def dispatch(self, now: float, sender: int, message: words.AnyMessage) -> None:
         """Pass a message to the component that handles its type."""
         match message:
             case words.Ask():
--- a/petrelhall/accord/decisions.py
+++ b/petrelhall/accord/decisions.py
@@ -45,7 +45,7 @@
         core = self.core
         found = [entry for entry in core.history if entry[0] <= message.version]
         if found:
-            core.outbox.send(sender, words.Decided(core.incarnation, tuple(found[: words.HISTORY])))
+            core.outbox.send(sender, words.Decided(core.incarnation, tuple(found[: words.MAX_DECISIONS])))
 
     def not_next_slot(self, now: float, sender: int, slot: int, before: bytes) -> bool:
         """Learn the decision that a message on a slot implies; return True unless the slot is the next to decide.
@@ -55,7 +55,7 @@
         core = self.core
         core.learn(now, slot - 1, before, sender)
         if core.has_decision and slot <= core.last_decision.version:
-            core.outbox.send(sender, words.Decided(core.incarnation, core.history.latest(words.HISTORY)))
+            core.outbox.send(sender, words.Decided(core.incarnation, core.history.latest(words.MAX_DECISIONS)))
             return True
         return not core.has_decision or slot != core.last_decision.version + 1
 
@@ -67,6 +67,6 @@
             if self.announced_at == -math.inf:  # the proposer of the decision announces it to all members once
                 outdated = set(range(core.pace.members))
             self.announced_at = now
-            message = words.Decided(core.incarnation, core.history.latest(words.HISTORY))
+            message = words.Decided(core.incarnation, core.history.latest(words.MAX_DECISIONS))
             for number in core.random.sample(sorted(outdated), len(outdated)):
                 core.outbox.send(number, message, float(len(core.pace.voters)))
--- a/petrelhall/accord/lease.py
+++ b/petrelhall/accord/lease.py
@@ -7,8 +7,8 @@
 
 import math
 
-from petrelhall.accord.plan import Pace
-from petrelhall.accord.words import EITHER, FULL
+from petrelhall.accord.plan import TimingParameters
+from petrelhall.accord.words import EITHER_LEASE, FULL_LEASE
 
 MAX_OPEN_REQUESTS = 16  # latest lease requests whose grants are still accepted
 
@@ -16,17 +16,20 @@
 class LeaseHolder:
     """One member's lease on one version."""
 
-    def __init__(self, pace: Pace) -> None:
+    def __init__(self, pace: TimingParameters) -> None:
         self.pace = pace
         self.nonce = 0
         self.requested_at: dict[int, float] = {}  # by nonce
-        self.grants: dict[int, dict[int, float]] = {FULL: {}, EITHER: {}}  # by lease kind and voter: expiry time
-        self.expires_at: dict[int, float] = {FULL: -math.inf, EITHER: -math.inf}  # by lease kind
+        self.grants: dict[int, dict[int, float]] = {
+            FULL_LEASE: {},
+            EITHER_LEASE: {},
+        }  # by lease kind and voter: expiry time
+        self.expires_at: dict[int, float] = {FULL_LEASE: -math.inf, EITHER_LEASE: -math.inf}  # by lease kind
 
     def reset(self) -> None:
         """Drop all grants and open requests, since leases are now requested on another version."""
         self.requested_at.clear()
-        for kind in (FULL, EITHER):
+        for kind in (FULL_LEASE, EITHER_LEASE):
             self.grants[kind].clear()
             self.expires_at[kind] = -math.inf
 
@@ -43,9 +46,11 @@
         requested_at = self.requested_at.get(nonce)
         if requested_at is None or voter not in self.pace.voters or kind not in self.grants:
             return False
-        for covered in (FULL, EITHER) if kind == FULL else (EITHER,):  # a full lease includes the weaker kind
+        for covered in (
+            (FULL_LEASE, EITHER_LEASE) if kind == FULL_LEASE else (EITHER_LEASE,)
+        ):  # a full lease includes the weaker kind
             expiries = self.grants[covered]
-            expiries[voter] = max(expiries.get(voter, -math.inf), requested_at + min(ms, self.pace.life_ms))
+            expiries[voter] = max(expiries.get(voter, -math.inf), requested_at + min(ms, self.pace.lease_duration_ms))
             latest_first = sorted(expiries.values(), reverse=True)
             if len(latest_first) >= self.pace.majority:
                 self.expires_at[covered] = latest_first[self.pace.majority - 1]
--- a/petrelhall/accord/leases.py
+++ b/petrelhall/accord/leases.py
@@ -6,7 +6,7 @@
 
 from petrelhall.accord import words
 from petrelhall.accord.events import Serve
-from petrelhall.accord.words import EITHER, FULL, NONE
+from petrelhall.accord.words import EITHER_LEASE, FULL_LEASE, NO_LEASE
 from petrelhall.events import Dropped
 
 if TYPE_CHECKING:
@@ -31,8 +31,10 @@
             missing = core.history.latest_missing(core.last_decision.version)
             if missing is not None:
                 core.outbox.send(core.random.choice(sorted(core.pace.voters)), words.Older(core.incarnation, missing))
-            holds_lease = core.holder.expires_at[FULL] > now
-            self.next_request_at = now + (core.pace.ask_ms if holds_lease else core.pace.again_ms)
+            holds_lease = core.holder.expires_at[FULL_LEASE] > now
+            self.next_request_at = now + (
+                core.pace.renewal_interval_ms if holds_lease else core.pace.acquire_interval_ms
+            )
 
     def request(self, now: float, voters: frozenset[int]) -> None:
         """Request a lease if the decided document is held and can be served; else only give back earlier leases."""
@@ -49,7 +51,7 @@
             core.holder.new_request(now),
             core.last_decision.version,
             digest,
-            int(core.pace.life_ms),
+            int(core.pace.lease_duration_ms),
             held and not reason,
             self.servable_previous() is not None,
         )
@@ -59,8 +61,8 @@
             core.outbox.send(number, ask)
         if core.voter is not None and core.number in voters:
             kind = core.voter.grant(now, core.number, ask)
-            if kind != NONE:
-                core.holder.add_grant(core.number, ask.nonce, kind, float(ask.ms))
+            if kind != NO_LEASE:
+                core.holder.add_grant(core.number, ask.nonce, kind, float(ask.lease_ms))
             self.grant_waiting(now)
 
     def servable_previous(self) -> bytes | None:
@@ -77,7 +79,9 @@
         if core.voter is None:
             return
         kind = core.voter.grant(now, sender, message)
-        if kind != NONE or sender not in core.voter.waiting_requests:  # a waiting request is answered by grant_waiting
+        if (
+            kind != NO_LEASE or sender not in core.voter.waiting_requests
+        ):  # a waiting request is answered by grant_waiting
             self.answer(now, sender, message, kind)
         self.grant_waiting(now)
 
@@ -86,19 +90,19 @@
         core = self.core
         assert core.voter is not None
         if to == core.number:
-            core.holder.add_grant(to, ask.nonce, kind, float(ask.ms))
+            core.holder.add_grant(to, ask.nonce, kind, float(ask.lease_ms))
         elif core.has_decision:
             core.outbox.send(
                 to,
                 words.Grant(
                     core.incarnation,
-                    ask.life,
+                    ask.incarnation,
                     ask.nonce,
                     kind,
-                    ask.ms,
+                    ask.lease_ms,
                     core.last_decision.version,
                     core.last_decision.digest,
-                    words.bitmap(core.voter.lease_holders(now)),
+                    words.encode_bitmap(core.voter.lease_holders(now)),
                 ),
             )
 
@@ -113,8 +117,8 @@
         """Record a grant, or learn that another version has been decided."""
         core = self.core
         core.learn(now, message.version, message.digest, sender)
-        if message.version == core.last_decision.version and message.kind != NONE:
-            if not core.holder.add_grant(sender, message.nonce, message.kind, float(message.ms)):
+        if message.version == core.last_decision.version and message.kind != NO_LEASE:
+            if not core.holder.add_grant(sender, message.nonce, message.kind, float(message.lease_ms)):
                 core.outbox.actions.append(Dropped("late"))
 
     def serve(self, now: float) -> None:
@@ -123,11 +127,11 @@
         digest = core.last_decision.digest
         if not core.has_decision or digest not in core.documents.held:
             return
-        full = core.holder.expires_at[FULL] > now
+        full = core.holder.expires_at[FULL_LEASE] > now
         previous = None if full else self.servable_previous()
-        if not full and (previous is None or core.holder.expires_at[EITHER] <= now):
+        if not full and (previous is None or core.holder.expires_at[EITHER_LEASE] <= now):
             return
-        core.lease_kind = FULL if full else EITHER
+        core.lease_kind = FULL_LEASE if full else EITHER_LEASE
         wanted = core.last_decision.version, digest, previous
         if wanted != core.serving:
             core.serving = wanted
@@ -137,7 +141,7 @@
             )
             for change in core.changes:
                 if not change.finished and change.slot <= core.last_decision.version:
-                    core.proposals.outcome(now, change)
+                    core.proposals.report_outcome(now, change)
 
     def members_behind(self, now: float) -> list[int]:
         """Return the members not known to have the decided version, judged by lease requests received here."""
@@ -146,5 +150,5 @@
             number
             for number in range(core.pace.members)
             if self.reported_versions.get(number, (-1, 0.0))[0] < core.last_decision.version
-            or now - self.reported_versions[number][1] > 2.0 * core.pace.life_ms
+            or now - self.reported_versions[number][1] > 2.0 * core.pace.lease_duration_ms
         ]
--- a/petrelhall/accord/transfer.py
+++ b/petrelhall/accord/transfer.py
@@ -9,7 +9,7 @@
 from petrelhall.accord import words
 from petrelhall.accord.documents import Documents
 from petrelhall.accord.outbox import Outbox
-from petrelhall.accord.plan import Pace
+from petrelhall.accord.plan import TimingParameters
 
 RANDOM_SOURCE_SHARE = 0.3  # share of requests sent to a random member: the member named as source may be gone
 MAX_QUEUED_PIECES = 40  # pieces waiting to be sent
@@ -18,7 +18,9 @@
 class Transfer:
     """The documents being fetched, and the pieces queued for other members."""
 
-    def __init__(self, incarnation: int, pace: Pace, documents: Documents, outbox: Outbox, rng: random.Random) -> None:
+    def __init__(
+        self, incarnation: int, pace: TimingParameters, documents: Documents, outbox: Outbox, rng: random.Random
+    ) -> None:
         self.incarnation, self.pace, self.documents, self.outbox, self.random = (
             incarnation,
             pace,
@@ -49,7 +51,7 @@
         if not self.documents.parts or now - self.last_requested_at < self.pace.retry_ms:
             return
         self.last_requested_at = now
-        for source, digest, missing, mask in self.documents.wants():
+        for source, digest, missing, mask in self.documents.next_requests():
             if self.random.random() < RANDOM_SOURCE_SHARE:
                 source = self.random.randrange(self.pace.members)
             self.outbox.send(source, words.Want(self.incarnation, digest, missing, mask))
--- a/petrelhall/accord/view.py
+++ b/petrelhall/accord/view.py
@@ -1,18 +1,18 @@
-"""What operators are shown of agreement, as JSON's values."""
+"""The state of the consensus as operators see it, as JSON values."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING, Any
 
 from petrelhall.accord.change import Change
-from petrelhall.accord.words import FULL
+from petrelhall.accord.words import FULL_LEASE
 
 if TYPE_CHECKING:
     from petrelhall.accord.core import ConsensusCore
 
 
 def change_row(change: Change, now: float) -> dict[str, Any]:
-    """Give one change of an operator's."""
+    """Return one change that an operator proposed here."""
     return {
         "digest": change.digest.hex(),
         "version": change.slot,
@@ -24,10 +24,10 @@
 
 
 def view(core: ConsensusCore, now: float) -> dict[str, Any]:
-    """Give all of it as JSON's values."""
+    """Return the whole state of this gateway's consensus."""
     state = "unsure"
     if core.can_admit(now):
-        state = "serving" if core.lease_kind == FULL else "strictest"
+        state = "serving" if core.lease_kind == FULL_LEASE else "strictest"
     memory = core.voter.state if core.voter is not None and core.voter.has_state else None
     pending = [
         {"digest": change.digest.hex(), "version": change.slot, "state": change.state}
@@ -59,8 +59,8 @@
         "history": [{"version": version, "digest": digest.hex()} for version, digest in core.history],
         "changes": [change_row(change, now) for change in core.changes],
         "pace": {
-            "life_ms": round(core.pace.life_ms),
-            "ask_ms": round(core.pace.ask_ms),
+            "life_ms": round(core.pace.lease_duration_ms),
+            "ask_ms": round(core.pace.renewal_interval_ms),
             "fence_ms": round(core.pace.fence_ms),
             "voters": sorted(core.pace.voters),
         },
--- a/petrelhall/accord/votes.py
+++ b/petrelhall/accord/votes.py
@@ -14,8 +14,8 @@
 
 from dataclasses import dataclass
 
-from petrelhall.accord.plan import MARGIN, Pace
-from petrelhall.accord.words import EITHER, FULL, NONE, Ask
+from petrelhall.accord.plan import CLOCK_MARGIN, TimingParameters
+from petrelhall.accord.words import EITHER_LEASE, FULL_LEASE, NO_LEASE, Ask
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
 class Voter:
     """One voter's persistent state and the leases that it has granted."""
 
-    def __init__(self, pace: Pace, state: VoterState | None, now: float) -> None:
+    def __init__(self, pace: TimingParameters, state: VoterState | None, now: float) -> None:
         self.pace, self.has_state, self.state = pace, state is not None, state or VoterState()
         # Until then, leases that an earlier incarnation granted may run and ballots that it voted in may be open.
         self.fence_until = now + pace.fence_ms
@@ -93,31 +93,31 @@
 
         A lease on an earlier version that the request gives back is released in any case.
         """
-        key = member, ask.life
+        key = member, ask.incarnation
         held = self.grants.get(key)
         if held is not None and held[0] < ask.version:
             del self.grants[key]
         self.waiting_requests.pop(member, None)
         state = self.state
         if (
-            not ask.wants
+            not ask.wants_lease
             or not self.has_state
             or now < self.fence_until
             or ask.version != state.version
             or ask.digest != state.digest
             or state.accepted
         ):
-            return NONE
+            return NO_LEASE
         earlier = {version for version, until in self.grants.values() if version < state.version and until > now}
-        kind = NONE
+        kind = NO_LEASE
         if not earlier:
-            kind = FULL
-        elif ask.either and self.pace.strictest and earlier == {state.version - 1}:
-            kind = EITHER
-        if kind != FULL:
+            kind = FULL_LEASE
+        elif ask.holds_previous and self.pace.strictest and earlier == {state.version - 1}:
+            kind = EITHER_LEASE
+        if kind != FULL_LEASE:
             self.waiting_requests[member] = ask
-        if kind != NONE:
-            self.grants[key] = state.version, now + ask.ms * MARGIN
+        if kind != NO_LEASE:
+            self.grants[key] = state.version, now + ask.lease_ms * CLOCK_MARGIN
         return kind
 
     def take_ready_requests(self, now: float) -> list[tuple[int, Ask]]:
--- a/petrelhall/accord/voting.py
+++ b/petrelhall/accord/voting.py
@@ -29,7 +29,7 @@
         if ballot is not None and not ballot.is_open(now, core.pace):
             ballot = core.ballot = None
         if ballot is None:
-            own_digest = core.proposals.deciding()
+            own_digest = core.proposals.digest_to_decide()
             if own_digest is not None or self.has_unfinished_vote(now):
                 ballot = core.ballot = self.begin_ballot(now, own_digest or core.last_decision.digest)
         if ballot is not None and now - ballot.last_sent_at >= core.pace.retry_ms:
@@ -86,7 +86,7 @@
     def on_prepare(self, now: float, sender: int, message: words.Prepare) -> None:
         """Answer a prepare request: promise, or reject it with the number of the higher ballot promised."""
         core = self.core
-        if not self.can_vote(now, sender, message.slot, message.before):
+        if not self.can_vote(now, sender, message.slot, message.previous_digest):
             return
         assert core.voter is not None
         self.highest_ballot_seen = max(self.highest_ballot_seen, message.ballot)
@@ -96,28 +96,30 @@
             core.outbox.send(
                 sender,
                 words.Promise(
-                    core.incarnation, message.life, message.slot, message.ballot, state.accepted, state.value
+                    core.incarnation, message.incarnation, message.slot, message.ballot, state.accepted, state.value
                 ),
             )
         else:
             core.outbox.send(
-                sender, words.Nack(core.incarnation, message.life, message.slot, core.voter.state.promised)
+                sender, words.Nack(core.incarnation, message.incarnation, message.slot, core.voter.state.promised)
             )
 
     def on_accept(self, now: float, sender: int, message: words.Accept) -> None:
         """Answer an accept request: vote, or reject it with the number of the higher ballot promised."""
         core = self.core
-        if not self.can_vote(now, sender, message.slot, message.before):
+        if not self.can_vote(now, sender, message.slot, message.previous_digest):
             return
         assert core.voter is not None
         self.highest_ballot_seen = max(self.highest_ballot_seen, message.ballot)
         core.transfer.fetch(message.digest, sender)
         if core.voter.accept(now, message.ballot, message.digest):
             core.persist()
-            core.outbox.send(sender, words.Accepted(core.incarnation, message.life, message.slot, message.ballot))
+            core.outbox.send(
+                sender, words.Accepted(core.incarnation, message.incarnation, message.slot, message.ballot)
+            )
         else:
             core.outbox.send(
-                sender, words.Nack(core.incarnation, message.life, message.slot, core.voter.state.promised)
+                sender, words.Nack(core.incarnation, message.incarnation, message.slot, core.voter.state.promised)
             )
 
     def on_promise(self, now: float, sender: int, message: words.Promise) -> None:
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -36,11 +36,11 @@
     Superseded,
     Tick,
 )
-from petrelhall.accord.documents import DATA, KEPT, MOST_BYTES, Documents, digest_of
+from petrelhall.accord.documents import MAX_DOCUMENT_BYTES, MAX_DOCUMENTS, PIECE_BYTES, Documents, digest_of
 from petrelhall.accord.lease import LeaseHolder
-from petrelhall.accord.plan import MARGIN, RHO, Pace, pace, voters_of
+from petrelhall.accord.plan import CLOCK_MARGIN, MAX_CLOCK_DRIFT, TimingParameters, derive_timing, voters_of
 from petrelhall.accord.votes import Voter, VoterState, merge_states
-from petrelhall.accord.words import EITHER, FULL, NONE, STEPS, Ask
+from petrelhall.accord.words import CHANGE_MESSAGES, EITHER_LEASE, FULL_LEASE, NO_LEASE, Ask
 from petrelhall.cli.main import main
 from petrelhall.control.calls import Call, Policy, read_call
 from petrelhall.decide import interface as api
@@ -66,7 +66,7 @@
 from petrelhall.standins.world import World as RealWorld
 from petrelhall.standins.world import settings as gateway_settings
 
-FIVE_MEMBERS = pace(5, 7, 400.0, 0.5, 1000.0, 0.0, 50.0, False)
+FIVE_MEMBERS = derive_timing(5, 7, 400.0, 0.5, 1000.0, 0.0, 50.0, False)
 NO_FAULTS = Turn("well", steps=20)
 
 
@@ -95,43 +95,43 @@
 
     def test_voter_grants_a_version_only_after_all_leases_on_the_previous_one_expired_or_were_released(self) -> None:
         voter = self.make_voter()
-        self.assertEqual(voter.grant(0.0, 2, self.make_ask(0, digest=b"d0")), FULL)
-        self.assertEqual(voter.grant(0.0, 0, self.make_ask(0, digest=b"d0")), FULL)
+        self.assertEqual(voter.grant(0.0, 2, self.make_ask(0, digest=b"d0")), FULL_LEASE)
+        self.assertEqual(voter.grant(0.0, 0, self.make_ask(0, digest=b"d0")), FULL_LEASE)
         voter.learn(1, b"d1")
-        self.assertEqual(voter.grant(10.0, 0, self.make_ask()), NONE)  # member 2 may still serve version 0
+        self.assertEqual(voter.grant(10.0, 0, self.make_ask()), NO_LEASE)  # member 2 may still serve version 0
         self.assertEqual(
             voter.take_ready_requests(1000.0), []
         )  # the lease is timed by the holder's clock, which may run slow
-        self.assertEqual([member for member, _ in voter.take_ready_requests(1000.0 * MARGIN)], [0])
+        self.assertEqual([member for member, _ in voter.take_ready_requests(1000.0 * CLOCK_MARGIN)], [0])
         voter = self.make_voter()
         voter.grant(0.0, 2, self.make_ask(0, digest=b"d0"))
         voter.learn(1, b"d1")
-        self.assertEqual(voter.grant(10.0, 0, self.make_ask()), NONE)
+        self.assertEqual(voter.grant(10.0, 0, self.make_ask()), NO_LEASE)
         # An ask from another incarnation releases no lease.
-        self.assertEqual(voter.grant(20.0, 2, self.make_ask(incarnation=8)), NONE)
-        self.assertEqual(voter.grant(30.0, 2, self.make_ask()), FULL)
+        self.assertEqual(voter.grant(20.0, 2, self.make_ask(incarnation=8)), NO_LEASE)
+        self.assertEqual(voter.grant(30.0, 2, self.make_ask()), FULL_LEASE)
 
     def test_voter_that_accepted_the_next_version_stops_granting_the_current_one(self) -> None:
         voter = self.make_voter()
         self.assertTrue(voter.promise(5))
-        self.assertEqual(voter.grant(0.0, 0, self.make_ask(0, digest=b"d0")), FULL)
+        self.assertEqual(voter.grant(0.0, 0, self.make_ask(0, digest=b"d0")), FULL_LEASE)
         self.assertFalse(voter.accept(0.0, 4, b"x"))  # a higher ballot was promised
         self.assertTrue(voter.accept(0.0, 5, b"x"))
-        self.assertEqual(voter.grant(0.0, 0, self.make_ask(0, digest=b"d0")), NONE)
+        self.assertEqual(voter.grant(0.0, 0, self.make_ask(0, digest=b"d0")), NO_LEASE)
         self.assertFalse(voter.promise(4))
         voter.learn(1, b"y")  # another value was decided, so the voter moves on to the next slot
         self.assertEqual((voter.state.accepted, voter.state.promised), (0, 0))
 
     def test_voter_without_memory_or_within_its_restart_fence_grants_nothing(self) -> None:
         voter = Voter(PACE, VoterState(1, b"d1"), 0.0)
-        self.assertEqual(voter.grant(PACE.fence_ms - 1.0, 0, self.make_ask()), NONE)
-        self.assertEqual(voter.grant(PACE.fence_ms, 0, self.make_ask()), FULL)
-        self.assertGreaterEqual(PACE.fence_ms, MARGIN * PACE.life_ms)
-        self.assertEqual(Voter(PACE, None, -1e9).grant(0.0, 0, self.make_ask()), NONE)
-        self.assertEqual(self.make_voter().grant(0.0, 0, self.make_ask(0, digest=b"another")), NONE)
+        self.assertEqual(voter.grant(PACE.fence_ms - 1.0, 0, self.make_ask()), NO_LEASE)
+        self.assertEqual(voter.grant(PACE.fence_ms, 0, self.make_ask()), FULL_LEASE)
+        self.assertGreaterEqual(PACE.fence_ms, CLOCK_MARGIN * PACE.lease_duration_ms)
+        self.assertEqual(Voter(PACE, None, -1e9).grant(0.0, 0, self.make_ask()), NO_LEASE)
+        self.assertEqual(self.make_voter().grant(0.0, 0, self.make_ask(0, digest=b"another")), NO_LEASE)
 
     def test_strictest_of_two_versions_is_granted_only_if_configured_and_only_for_consecutive_versions(self) -> None:
-        for wanted, either, kind in ((True, True, EITHER), (True, False, NONE), (False, True, NONE)):
+        for wanted, either, kind in ((True, True, EITHER_LEASE), (True, False, NO_LEASE), (False, True, NO_LEASE)):
             voter = self.make_voter(wanted)
             voter.grant(0.0, 2, self.make_ask(0, digest=b"d0"))
             voter.learn(1, b"d1")
@@ -139,25 +139,28 @@
         voter = self.make_voter(True)
         voter.grant(0.0, 2, self.make_ask(0, digest=b"d0"))
         voter.learn(2, b"d2")
-        self.assertEqual(voter.grant(10.0, 0, self.make_ask(2, either=True, digest=b"d2")), NONE)
+        self.assertEqual(voter.grant(10.0, 0, self.make_ask(2, either=True, digest=b"d2")), NO_LEASE)
 
     def test_lease_runs_from_the_request_and_needs_a_majority_of_voters(self) -> None:
         holder = LeaseHolder(PACE)
         nonce = holder.new_request(100.0)
-        self.assertTrue(holder.add_grant(0, nonce, FULL, 1000.0))
-        self.assertEqual(holder.expires_at[FULL], -math.inf)
-        self.assertFalse(holder.add_grant(9, nonce, FULL, 1000.0))  # not a voter
-        self.assertFalse(holder.add_grant(1, nonce + 1, FULL, 1000.0))  # unknown nonce
-        self.assertTrue(holder.add_grant(1, nonce, EITHER, 1000.0))
-        self.assertEqual((holder.expires_at[FULL], holder.expires_at[EITHER]), (-math.inf, 1100.0))
-        self.assertTrue(holder.add_grant(2, nonce, FULL, 9999.0))
-        self.assertTrue(holder.add_grant(0, nonce, FULL, 9999.0))  # capped at the requested duration
-        self.assertEqual(holder.expires_at[FULL], 1100.0)
+        self.assertTrue(holder.add_grant(0, nonce, FULL_LEASE, 1000.0))
+        self.assertEqual(holder.expires_at[FULL_LEASE], -math.inf)
+        self.assertFalse(holder.add_grant(9, nonce, FULL_LEASE, 1000.0))  # not a voter
+        self.assertFalse(holder.add_grant(1, nonce + 1, FULL_LEASE, 1000.0))  # unknown nonce
+        self.assertTrue(holder.add_grant(1, nonce, EITHER_LEASE, 1000.0))
+        self.assertEqual((holder.expires_at[FULL_LEASE], holder.expires_at[EITHER_LEASE]), (-math.inf, 1100.0))
+        self.assertTrue(holder.add_grant(2, nonce, FULL_LEASE, 9999.0))
+        self.assertTrue(holder.add_grant(0, nonce, FULL_LEASE, 9999.0))  # capped at the requested duration
+        self.assertEqual(holder.expires_at[FULL_LEASE], 1100.0)
         holder.reset()
-        self.assertFalse(holder.add_grant(2, nonce, FULL, 1000.0))  # answers a request for the previous version
+        self.assertFalse(holder.add_grant(2, nonce, FULL_LEASE, 1000.0))  # answers a request for the previous version
 
     def test_clock_drift_within_the_bound_leaves_no_overlap_of_two_leases(self) -> None:
-        self.assertGreater(PACE.life_ms * MARGIN / (1.0 + RHO), PACE.life_ms / (1.0 - RHO))
+        self.assertGreater(
+            PACE.lease_duration_ms * CLOCK_MARGIN / (1.0 + MAX_CLOCK_DRIFT),
+            PACE.lease_duration_ms / (1.0 - MAX_CLOCK_DRIFT),
+        )
 
     def test_ballot_expires_and_ballot_numbers_are_unique_per_member_and_incarnation(self) -> None:
         ballot = Ballot(1, ballot_number(0, 2, 5), 0.0, b"own")
@@ -181,22 +184,22 @@
         )
 
     def test_messages_fit_in_a_datagram_for_a_thousand_members_and_invalid_ones_are_classified(self) -> None:
-        all_members, digest = words.bitmap(set(range(1000))), bytes(16)
+        all_members, digest = words.encode_bitmap(set(range(1000))), bytes(16)
         large = 2**62
         for message in (
             words.Grant(large, large, large, 2, 99999, 99999, digest, all_members),
-            words.Opinion(large, large, 99999, digest, 2, "x" * words.REASON, True, all_members),
-            words.Decided(large, ((99999, digest),) * words.HISTORY),
-            words.Check(large, 99999, digest, digest, bytes(DATA)),
-            words.Piece(large, digest, 500, MOST_BYTES, bytes(DATA)),
+            words.Opinion(large, large, 99999, digest, 2, "x" * words.MAX_REASON_BYTES, True, all_members),
+            words.Decided(large, ((99999, digest),) * words.MAX_DECISIONS),
+            words.Check(large, 99999, digest, digest, bytes(PIECE_BYTES)),
+            words.Piece(large, digest, 500, MAX_DOCUMENT_BYTES, bytes(PIECE_BYTES)),
             words.State(large, large, large, True, 99999, digest, large, large, digest, (2**31,) * 15),
         ):
             content = words.encode(message, 1000, 7)
-            self.assertLessEqual(len(content), words.MOST, type(message).__name__)
+            self.assertLessEqual(len(content), words.MAX_MESSAGE_BYTES, type(message).__name__)
             self.assertEqual(words.decode(content, 1000, 7), message)
             self.assertEqual(words.decode(content, 1000, 5), "foreign")
             self.assertEqual(words.decode(content[:-1] + bytes([content[-1] ^ 1]), 1000, 7), "spoilt")
-        self.assertEqual(words.numbers(words.bitmap({0, 9, 200})), {0, 9, 200})
+        self.assertEqual(words.decode_bitmap(words.encode_bitmap({0, 9, 200})), {0, 9, 200})
         self.assertEqual(voters_of(200, 7), frozenset(place * 200 // 7 for place in range(7)))
 
     def test_documents_are_transferred_in_pieces_by_digest_and_the_store_is_bounded(self) -> None:
@@ -207,7 +210,7 @@
         received, rounds = None, 0
         while received is None and rounds < 40:
             rounds += 1
-            for _, piece_digest, first, mask in receiver.wants():
+            for _, piece_digest, first, mask in receiver.next_requests():
                 for index, size, data in sender.pieces(piece_digest, first, mask):
                     if rng.random() > 0.2:
                         received = receiver.piece(piece_digest, index, size, data) or received
@@ -215,9 +218,9 @@
         self.assertIsNone(receiver.piece(digest_of(b"never asked"), 0, 11, b"never asked"))
         receiver.seek(digest_of(b"right"), 1)
         self.assertIsNone(receiver.piece(digest_of(b"right"), 0, 5, b"wrong"))  # digest mismatch: the transfer restarts
-        for number in range(3 * KEPT):
+        for number in range(3 * MAX_DOCUMENTS):
             receiver.put(b"%d" % number, frozenset((digest_of(b"0"),)))
-        self.assertEqual(len(receiver.held), KEPT)
+        self.assertEqual(len(receiver.held), MAX_DOCUMENTS)
         self.assertIn(digest_of(b"0"), receiver.held)
 
 
@@ -227,7 +230,7 @@
     def setUp(self) -> None:
         self.worlds: list[World] = []
 
-    def new_world(self, timing: Pace = PACE, disk: bool = False, document: bytes = FILE) -> World:
+    def new_world(self, timing: TimingParameters = PACE, disk: bool = False, document: bytes = FILE) -> World:
         world = settled(ConsensusCore, disk, timing, document)
         self.worlds.append(world)
         self.assertTrue(all(core.can_admit(world.clock(number)) for number, core in world.cores.items()))
@@ -294,7 +297,7 @@
     def test_proposal_with_wrong_base_or_too_large_or_before_recovery_fails_immediately(self) -> None:
         world = self.new_world()
         self.propose(world, 0, b"one", base=4)
-        self.propose(world, 0, bytes(MOST_BYTES + 1))
+        self.propose(world, 0, bytes(MAX_DOCUMENT_BYTES + 1))
         self.assertEqual(self.outcomes(world, 0), ["nowhere", "nowhere"])
         unrecovered = ConsensusCore(0, 1, PACE, FILE, lambda content: "", 1, 0.0)
         unrecovered.handle(0.0, Propose(b"x", 0))
@@ -309,7 +312,7 @@
         world.take(Turn("well", steps=40))
         self.assertEqual(self.served_versions(world)[:2], [1, 1])
         change = world.cores[0].changes[0]
-        self.assertLess(change.ended_at - change.started_at, MARGIN * FIVE_MEMBERS.life_ms + 1000.0)
+        self.assertLess(change.ended_at - change.started_at, CLOCK_MARGIN * FIVE_MEMBERS.lease_duration_ms + 1000.0)
         self.assertIn(2, world.cores[0].members_behind(world.clock(0)))
         world.now += 3_600_000.0  # it stays down for an hour
         world.start(2)
@@ -337,7 +340,7 @@
 
     def test_partition_during_a_change_stops_the_minority_and_all_converge_on_one_version(self) -> None:
         for partitions in (((0, 1, 2), (3, 4)), ((0, 1), (2, 3), (4,))):
-            for step in STEPS:
+            for step in CHANGE_MESSAGES:
                 for proposer in (0, 4):
                     world = self.new_world(FIVE_MEMBERS)
                     triggered: list[bool] = []
@@ -488,7 +491,9 @@
         world = self.new_world()
         core = world.cores[0]
         now = world.clock(0)
-        grant = words.Grant(9, core.incarnation + 1, core.holder.nonce, FULL, 1000, 0, core.last_decision.digest, b"")
+        grant = words.Grant(
+            9, core.incarnation + 1, core.holder.nonce, FULL_LEASE, 1000, 0, core.last_decision.digest, b""
+        )
         actions = core.handle(now, MessageReceived(1, words.encode(grant, 3, 3)))
         self.assertIn(Dropped("other_life"), actions)
         for lateness_ms, version in ((PACE.ballot_ms + 1.0, 0), (0.0, 1)):
@@ -555,7 +560,7 @@
         self.assertEqual(core.handle(now, Superseded()), [])
         self.assertTrue(core.can_admit(now))
         self.assertEqual(core.handle(now + 500.0, Tick()), [])
-        self.assertFalse(core.can_admit(now + PACE.life_ms))
+        self.assertFalse(core.can_admit(now + PACE.lease_duration_ms))
 
     def test_vote_is_persisted_before_it_is_sent(self) -> None:
         world = self.new_world(disk=True)
@@ -582,14 +587,14 @@
             self.assertLess(event_log.index(f"{number} kept True"), event_log.index(f"{number} voted"))
 
     def test_each_step_of_a_change_survives_a_kill_or_pause_before_and_after_it(self) -> None:
-        for step in STEPS:
+        for step in CHANGE_MESSAGES:
             for victims in ("proposer", "voter", "majority"):
                 for fault in ("kill", "stop"):
                     for after in (False, True):
                         with self.subTest(step=step.__name__, victims=victims, fault=fault, after=after):
                             self.check_fault_at_step(step, victims, fault, after)
 
-    def check_fault_at_step(self, step: type[words.Word], victims: str, fault: str, after: bool) -> None:
+    def check_fault_at_step(self, step: type[words.Message], victims: str, fault: str, after: bool) -> None:
         """Propose, inject a fault at the first message of a type, recover, and check for one known outcome."""
         # Without folders a killed majority would lose the decision.
         world = self.new_world(FIVE_MEMBERS, disk=victims == "majority")
