--- a/petrelhall/accord/core.py
+++ b/petrelhall/accord/core.py
@@ -1,4 +1,6 @@
-"""Consensus core: takes events and the current time, returns actions. Pure; ``docs/design/accord.md`` has the correctness argument.
+"""Consensus core: takes events and the current time, returns actions. Pure.
+
+``docs/design/accord.md`` has the correctness argument.
 
 The policy in force is the last in a sequence of decided documents, one for each version. Each version is decided by
 the voters with single-decree Paxos. A gateway serves a version only while it holds a lease on it from a majority of
--- a/petrelhall/accord/lease.py
+++ b/petrelhall/accord/lease.py
@@ -20,10 +20,8 @@
         self.pace = pace
         self.nonce = 0
         self.requested_at: dict[int, float] = {}  # by nonce
-        self.grants: dict[int, dict[int, float]] = {
-            FULL_LEASE: {},
-            EITHER_LEASE: {},
-        }  # by lease kind and voter: expiry time
+        # By lease kind and voter: expiry time.
+        self.grants: dict[int, dict[int, float]] = {FULL_LEASE: {}, EITHER_LEASE: {}}
         self.expires_at: dict[int, float] = {FULL_LEASE: -math.inf, EITHER_LEASE: -math.inf}  # by lease kind
 
     def reset(self) -> None:
--- a/petrelhall/accord/recovery.py
+++ b/petrelhall/accord/recovery.py
@@ -48,7 +48,10 @@
             core.outbox.send(number, words.Query(core.incarnation, nonce))
 
     def memory_from(self, now: float, answers: dict[int, words.State]) -> VoterState | None:
-        """Return the state that this voter takes over from the answers; None, with ``core.not_serving_reason`` set, if unknown."""
+        """Return the state that this voter takes over from the answers.
+
+        None, with ``core.not_serving_reason`` set, if it is unknown.
+        """
         core = self.core
         remembering = [state for state in answers.values() if state.remembers]
         empty = {number: state.digest for number, state in answers.items() if not state.remembers}
--- a/petrelhall/accord/voting.py
+++ b/petrelhall/accord/voting.py
@@ -10,8 +10,8 @@
 if TYPE_CHECKING:
     from petrelhall.accord.core import ConsensusCore
 
-# Base delay before other voters finish a ballot that was voted on but not decided; each voter waits a little longer than
-# the one before it, so that they do not compete.
+# Base delay before other voters finish a ballot that was voted on but not decided; each voter waits a little longer
+# than the one before it, so that they do not compete.
 TAKEOVER_DELAY_MS = 400.0
 
 
--- a/petrelhall/gateway/program.py
+++ b/petrelhall/gateway/program.py
@@ -126,9 +126,8 @@
                 log.write,
                 config.name,
             )
-            self.dispatcher.dispatch(
-                self.registry.reassign_pools()
-            )  # apply exclusions made before this process started
+            # Apply exclusions made before this process started.
+            self.dispatcher.dispatch(self.registry.reassign_pools())
             if self.membership is not None:
                 self.mgmt.views["members"] = self.membership.view
             if self.quota_sharing is not None:
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -99,9 +99,8 @@
         self.assertEqual(voter.grant(0.0, 0, self.make_ask(0, digest=b"d0")), FULL_LEASE)
         voter.learn(1, b"d1")
         self.assertEqual(voter.grant(10.0, 0, self.make_ask()), NO_LEASE)  # member 2 may still serve version 0
-        self.assertEqual(
-            voter.take_ready_requests(1000.0), []
-        )  # the lease is timed by the holder's clock, which may run slow
+        # The lease is timed by the holder's clock, which may run slow.
+        self.assertEqual(voter.take_ready_requests(1000.0), [])
         self.assertEqual([member for member, _ in voter.take_ready_requests(1000.0 * CLOCK_MARGIN)], [0])
         voter = self.make_voter()
         voter.grant(0.0, 2, self.make_ask(0, digest=b"d0"))
@@ -674,9 +673,9 @@
         if self.voter is not None:
             original, self.voter = self.voter, GrantsDespiteEarlierLeases(self.pace, None, 0.0)
             self.voter.fence_until, self.voter.has_state, self.voter.state = (
-                original.fence,
-                original.remembers,
-                original.memory,
+                original.fence_until,
+                original.has_state,
+                original.state,
             )
 
 
