--- a/petrelhall/accord/recovery.py
+++ b/petrelhall/accord/recovery.py
@@ -75,7 +75,7 @@
         core.not_serving_reason = (
             f"started without state, and the shared part of the file differs from that of {differ}"
             if differ and not remembering
-            else f"started without state: {len(remembering)} voters with state have answered"
+            else f"started without state: {len(remembering)} voters that remember theirs have answered"
             + (f", no answer from {sorted(missing)}" if missing else "")
         )
         return None
--- a/tests/test_accord.py
+++ b/tests/test_accord.py
@@ -418,7 +418,7 @@
         for _ in range(5):
             world.take(NO_FAULTS)
         self.assertEqual(self.served_versions(world), [-1] * 5)
-        self.assertIn("2 voters with state have answered", world.cores[4].not_serving_reason)
+        self.assertIn("2 voters that remember", world.cores[4].not_serving_reason)
         for number in (2, 3, 4):
             world.cores[number].handle(world.clock(number), DeclareVotersLost())
         for _ in range(5):
