--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -158,9 +158,8 @@
         pool = self.pool()
         self.attempt(pool)
         self.serve(self.accept())
-        self.plan.servers["s0"].idle[
-            0
-        ].idle_since -= REUSE_DELAY_MS  # past the rest time: only the check of the socket prevents reuse
+        # Past the reuse delay: only the check of the socket prevents reuse.
+        self.plan.servers["s0"].idle[0].idle_since -= REUSE_DELAY_MS
         self.accepted[0].close()
         steps = pool.attempt("s0", ASKED, now_ms() + 1000.0, lambda: False)
         self.addCleanup(steps.close)
